--- a/azurestep/balancing/__init__.py
+++ b/azurestep/balancing/__init__.py
@@ -55,8 +55,8 @@
 from ..quarantine import (
     BODY_PREFIX_BYTES,
     Quarantine,
+    QuarantineStatus,
     QuarantineUpdate,
-    Standing,
     fingerprint,
 )
 from .admission import Admission
@@ -138,7 +138,7 @@
     "RetryBudget",
     "RetryDecision",
     "RetryElsewhere",
-    "Standing",
+    "QuarantineStatus",
     "Ticket",
     "TicketState",
     "continues",
--- a/azurestep/http/client.py
+++ b/azurestep/http/client.py
@@ -64,7 +64,7 @@
         self.lost = False
         self.used = 0
         self.idle_since_s = 0.0
-        self.rested_ms = 0.0
+        self.idle_ms = 0.0
         self.idle_limit_ms: float | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -234,7 +234,7 @@
 
 
 @attrs.define
-class Idle:
+class IdlePool:
     """Idle connections to one address, the last used first.
 
     Attributes
@@ -249,22 +249,22 @@
     _distrusted_s: float = 0.0
 
     @property
-    def trusted_ms(self) -> float:
+    def reuse_limit_ms(self) -> float:
         """Idle time up to which the other end is known to keep a connection."""
         return min(self.idle_limit_ms, self._distrusted_ms)
 
-    def distrust(self, rested_ms: float, now_s: float) -> None:
+    def reduce_reuse_limit(self, idle_ms: float, now_s: float) -> None:
         """Learn that the other end forgot a connection that rested so long."""
-        least_ms = max(TRUST_LEAST_MS, rested_ms * TRUST_SHARE)
-        self._distrusted_ms = min(self.trusted_ms, least_ms)
+        least_ms = max(TRUST_LEAST_MS, idle_ms * TRUST_SHARE)
+        self._distrusted_ms = min(self.reuse_limit_ms, least_ms)
         self._distrusted_s = now_s
 
-    def trust_again(self) -> None:
+    def reset_reuse_limit(self) -> None:
         """Forget what was learned of the other end."""
         self._distrusted_ms = float("inf")
 
     def take(
-        self, now_s: float, fresh_ms: float | None = None
+        self, now_s: float, max_idle_ms: float | None = None
     ) -> ClientConnection | None:
         """Return a usable connection, or None.
 
@@ -272,19 +272,19 @@
         ----------
         now_s : float
             Time of the event loop.
-        fresh_ms : float, optional
+        max_idle_ms : float, optional
             Most time since the last answer on it.
         """
         while self._connections:
             connection = self._connections.pop()
-            limit_ms = self.trusted_ms
+            limit_ms = self.reuse_limit_ms
             if connection.idle_limit_ms is not None:
                 limit_ms = min(limit_ms, connection.idle_limit_ms)
-            if fresh_ms is not None:
-                limit_ms = min(limit_ms, fresh_ms)
+            if max_idle_ms is not None:
+                limit_ms = min(limit_ms, max_idle_ms)
             idle_ms = (now_s - connection.idle_since_s) * 1000
             if connection.usable and idle_ms < limit_ms:
-                connection.rested_ms = idle_ms
+                connection.idle_ms = idle_ms
                 return connection
             connection.close()
         return None
@@ -297,11 +297,11 @@
     def sweep(self, now_s: float) -> None:
         """Close connections that were idle for too long."""
         if now_s - self._distrusted_s > DISTRUST_S:
-            self.trust_again()
+            self.reset_reuse_limit()
         kept = []
         for connection in self._connections:
             idle_ms = (now_s - connection.idle_since_s) * 1000
-            limit_ms = min(self.trusted_ms, connection.idle_limit_ms or 1e9)
+            limit_ms = min(self.reuse_limit_ms, connection.idle_limit_ms or 1e9)
             if connection.usable and idle_ms < limit_ms:
                 kept.append(connection)
             else:
--- a/azurestep/http/exchange.py
+++ b/azurestep/http/exchange.py
@@ -41,7 +41,7 @@
     def on_end(self) -> None:
         """Learn that the body is whole."""
 
-    def on_gone(self) -> None:
+    def on_disconnect(self) -> None:
         """Learn that the caller closed the connection."""
 
     def on_writable(self) -> None:
@@ -110,7 +110,7 @@
         self.finished = True
         self.connection.flush()
 
-    def break_off(self) -> None:
+    def reset(self) -> None:
         """Reset the connection, so that a cut answer doesn't look complete."""
         self.connection.abort()
 
--- a/azurestep/http/server.py
+++ b/azurestep/http/server.py
@@ -96,7 +96,7 @@
         """Tell one request; a fault there keeps no other from being told."""
         try:
             if exchange.sink is not None:
-                exchange.sink.on_gone()
+                exchange.sink.on_disconnect()
         except Exception as error:
             self.state.on_fault(error, True)
 
@@ -120,7 +120,7 @@
         if exchange.finished:
             return
         if exchange.started:
-            exchange.break_off()
+            exchange.reset()
         else:
             self.state.answer_fault(exchange)
 
--- a/azurestep/lines/verdict.py
+++ b/azurestep/lines/verdict.py
@@ -89,7 +89,7 @@
         return Verdict(Outcome.REFUSED, BY_REASON.get(line.reason, Decision.OTHER))
     if line.event == events.CALL_FAILED.number:
         return Verdict(Outcome.FAILED, BY_REASON.get(line.reason, Decision.OTHER))
-    if line.event == events.CALL_GONE.number:
+    if line.event == events.CALLER_DISCONNECTED.number:
         return Verdict(Outcome.GONE, Decision.CALLER)
     return None
 
--- a/azurestep/mesh/backend/answer_parts.py
+++ b/azurestep/mesh/backend/answer_parts.py
@@ -34,7 +34,7 @@
         fields = read_answer(headers)
         if not _belongs(fields, status, request_id):
             events.log(
-                events.EXTRA_ANSWER,
+                events.UNMATCHED_ANSWER,
                 id=request_id,
                 named=fields.request_id,
                 status=status,
--- a/azurestep/mesh/backend/contained.py
+++ b/azurestep/mesh/backend/contained.py
@@ -7,11 +7,11 @@
 class Faultable(Protocol):
     """A request that can end with a fault of this program."""
 
-    def take_fault(self, error: Exception) -> None:
+    def on_fault(self, error: Exception) -> None:
         """Tell the fault, and end with it."""
 
 
-def contained(
+def run_guarded(
     request: Faultable, step: Callable[..., None], *arguments: object
 ) -> None:
     """Do a step of a request.
@@ -22,4 +22,4 @@
     try:
         step(*arguments)
     except Exception as error:
-        request.take_fault(error)
+        request.on_fault(error)
--- a/azurestep/mesh/backend/crashes.py
+++ b/azurestep/mesh/backend/crashes.py
@@ -12,7 +12,7 @@
 import attrs
 
 from ...endpoint_key import EndpointKey
-from ...quarantine import Quarantine, QuarantineUpdate, Standing, fingerprint
+from ...quarantine import Quarantine, QuarantineStatus, QuarantineUpdate, fingerprint
 from ..incarnation import Incarnation
 from ..messages import Request
 
@@ -84,14 +84,16 @@
         """Note that a backend server broke off before its answer began."""
         if request.whole:
             table = self._tables.setdefault(request.service, Quarantine())
-            table.lost(fingerprint_of(request), self._key(request.incarnation), now_ms)
+            table.record_loss(
+                fingerprint_of(request), self._key(request.incarnation), now_ms
+            )
 
     def answered(self, request: Request, now_ms: float) -> None:
         """Note that a backend server outlived a request."""
         table = self._tables.get(request.service)
         if table is not None and table.active:
             key = self._key(request.incarnation)
-            table.answered(fingerprint_of(request), key, now_ms)
+            table.record_answer(fingerprint_of(request), key, now_ms)
 
     def died(self, service: str, incarnation: Incarnation, now_ms: float) -> None:
         """Note that the backend server beside this node died, and tell all nodes."""
@@ -99,7 +101,7 @@
         if table is None:
             return
         key = self._key(incarnation)
-        updates = table.server_died(key, now_ms, self.servers(service))
+        updates = table.record_death(key, now_ms, self.servers(service))
         if updates:
             self.tell(service, updates)
 
@@ -107,14 +109,14 @@
         """Note that the backend server beside this node takes connections."""
         table = self._tables.get(service)
         if table is not None:
-            table.server_alive(self._key(incarnation))
+            table.record_alive(self._key(incarnation))
 
     def learn(
         self, service: str, updates: list[QuarantineUpdate], now_ms: float
     ) -> None:
         """Take in what another node saw."""
         table = self._tables.setdefault(service, Quarantine())
-        table.learn(updates, now_ms, self.servers(service))
+        table.merge(updates, now_ms, self.servers(service))
 
     def export(self, now_ms: float) -> list[tuple[str, list[QuarantineUpdate]]]:
         """Return all that a node which has just been met should know."""
@@ -126,8 +128,10 @@
         table = self._tables.get(request.service)
         if table is None or not table.active or not request.whole:
             return False
-        return table.standing(fingerprint_of(request), now_ms) is Standing.REFUSED
+        return (
+            table.status_of(fingerprint_of(request), now_ms) is QuarantineStatus.REFUSED
+        )
 
     def _key(self, incarnation: Incarnation) -> EndpointKey:
-        name = b"%b@%d" % (incarnation.instance_id, incarnation.born_ms)
+        name = b"%b@%d" % (incarnation.instance_id, incarnation.started_ms)
         return EndpointKey(self.host, 0, zlib.crc32(name))
--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from ...http.client import ClientConnection, Idle
+from ...http.client import ClientConnection, IdlePool
 from .. import events
 from ..decisions.admission import Admission, Refused, Ticket
 from ..decisions.health import Health
@@ -18,7 +18,7 @@
 from ..messages import Reason, Request
 from ..runtime import Runtime
 from ..settings import Address
-from .contained import contained
+from .contained import run_guarded
 from .crashes import CrashWatch
 from .load import LoadSummary, tick_load
 from .run import AnswerReceiver, Run
@@ -55,7 +55,7 @@
     on_change: Callable[[], None]
     crashes: CrashWatch
     admission: Admission = attrs.field(factory=Admission)
-    idle: Idle = attrs.field(factory=lambda: Idle(IDLE_MS))
+    idle: IdlePool = attrs.field(factory=lambda: IdlePool(IDLE_MS))
     transfers: Transfers = attrs.field(factory=Transfers)
     load: LoadSummary = attrs.field(factory=LoadSummary)
     health: Health = attrs.field(factory=Health)
@@ -103,7 +103,7 @@
         try:
             self._admit(run)
         except Exception:
-            self.runtime.contain("run", run.cancel)
+            self.runtime.run_guarded("run", run.cancel)
             raise
         return run
 
@@ -114,8 +114,8 @@
             run.refuse(reason)
             return
         self.admission.slots = self.backend.slots
-        if request.usual_ms:
-            self.admission.expect(request.route, request.usual_ms)
+        if request.mean_run_ms:
+            self.admission.expect(request.route, request.mean_run_ms)
         self.callers.arrived(request.route, request.priority, request.calling_service)
         decision = self.admission.offer(run.ticket, self.now_ms())
         if isinstance(decision, Refused):
@@ -129,7 +129,7 @@
             return obstacle
         if self.unreachable:
             return Reason.UNREACHABLE
-        if request.budget_ms <= 0:
+        if request.remaining_ms <= 0:
             return Reason.TOO_LATE
         return None
 
@@ -159,7 +159,7 @@
         """
         if not self._look_due:
             self._look_due = True
-            self.runtime.soon(self._look)
+            self.runtime.call_soon(self._look)
 
     def _look(self) -> None:
         """Refuse what can't be answered in time any more, give free slots and turns.
@@ -174,12 +174,12 @@
         if not self.backend.admits(now_ms):
             self._refuse(self.admission.waiting, Reason.LEAVING)
         for waiting in self.transfers.waiting:
-            contained(waiting, waiting.refuse_if_late, now_ms)
+            run_guarded(waiting, waiting.refuse_if_late, now_ms)
         while (ticket := self.admission.start_next(now_ms)) is not None:
             run = self._runs[ticket]
-            contained(run, run.start)
+            run_guarded(run, run.start)
         while (transfer := self.transfers.start_next()) is not None:
-            contained(transfer, transfer.ask_for_body)
+            run_guarded(transfer, transfer.ask_for_body)
 
     def _refuse(self, tickets: list[Ticket], reason: Reason) -> None:
         """Refuse waiting requests; each waits until its turn to be refused comes.
@@ -189,7 +189,7 @@
         for ticket in tickets:
             run = self._runs.get(ticket)
             if run is not None:
-                contained(run, run.refuse, reason)
+                run_guarded(run, run.refuse, reason)
 
     async def connect(self) -> ClientConnection | None:
         """Open a connection to the backend server; None if it takes none."""
@@ -217,7 +217,7 @@
     def other_instance(self, request: Request, instance_id: str) -> None:
         """Learn that another incarnation answered."""
         events.log(
-            events.OTHER_INSTANCE,
+            events.BACKEND_REPLACED,
             id=request.request_id,
             expected=request.instance_id,
             found=instance_id,
@@ -228,9 +228,9 @@
 
     def ran(self, failed: bool) -> None:
         """Count a run that ended, and tell all nodes at once of a failing server."""
-        before = self.health.failing
+        before = self.health.failure_ratio
         self.health.record(failed)
-        if failed and self.health.failing > before:
+        if failed and self.health.failure_ratio > before:
             self.on_change()
 
     def broke_off(
@@ -246,15 +246,15 @@
         if len(self._runs) == 1:
             self.runtime.spawn(self._try_again())
         if connection.used > 1 and self.now_ms() - sent_ms < FORGOTTEN_MS:
-            self._distrust_idle(connection.rested_ms)
+            self._reduce_reuse_limit(connection.idle_ms)
 
-    def _distrust_idle(self, rested_ms: float) -> None:
-        self.idle.distrust(rested_ms, self.runtime.loop.time())
+    def _reduce_reuse_limit(self, idle_ms: float) -> None:
+        self.idle.reduce_reuse_limit(idle_ms, self.runtime.loop.time())
         events.log(
-            events.CONNECTION_FORGOTTEN,
+            events.IDLE_CONNECTION_LOST,
             instance=self.backend.instance_id,
-            rested_ms=round(rested_ms),
-            trusted_ms=round(self.idle.trusted_ms),
+            rested_ms=round(idle_ms),
+            trusted_ms=round(self.idle.reuse_limit_ms),
         )
 
     def changed(self) -> None:
@@ -269,7 +269,7 @@
         self.load = tick_load(self.load, self.admission, self.backend)
         self._look_soon()
         for run in list(self._runs.values()):
-            contained(run, run.check_age, now_ms)
+            run_guarded(run, run.check_age, now_ms)
         self.idle.sweep(self.runtime.loop.time())
         if self.unreachable and now_ms > self._next_try_ms and self.backend.is_open():
             self._next_try_ms = now_ms + DOWN_RETRY_MS
@@ -282,9 +282,9 @@
 
     def _tick_health(self) -> None:
         incarnation = self.backend.incarnation
-        if not incarnation.may_be(self._judged):
+        if not incarnation.matches(self._judged):
             self.health.clear()
-            self.idle.trust_again()
+            self.idle.reset_reuse_limit()
             self.admission.forget()
         self._judged = incarnation
         self.health.tick()
--- a/azurestep/mesh/backend/interfaces.py
+++ b/azurestep/mesh/backend/interfaces.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from ...http.client import ClientConnection, Idle
+from ...http.client import ClientConnection, IdlePool
 from ..decisions.admission import Admission, Ticket
 from ..messages import Answer, Failure, Reason, Refusal, Request
 from ..runtime import Runtime
@@ -30,7 +30,7 @@
     def on_credit(self, size: int) -> None:
         """Learn that so many bytes of the body were taken."""
 
-    def on_ready(self) -> None:
+    def on_slot_ready(self) -> None:
         """Learn that a held request has a slot and waits to be let go."""
 
 
@@ -40,7 +40,7 @@
     runtime: Runtime
     backend: Backend
     admission: Admission
-    idle: Idle
+    idle: IdlePool
     transfers: Transfers
     crashes: CrashWatch
     load: LoadSummary
--- a/azurestep/mesh/backend/load.py
+++ b/azurestep/mesh/backend/load.py
@@ -68,7 +68,7 @@
     A whole summary is logged and a new one begun.
     """
     running = len(admission.running)
-    if not load.tick(running, admission.busy - running):
+    if not load.tick(running, admission.in_flight - running):
         return load
     if backend.instance_id:
         load.log(backend.instance_id, backend.service, backend.slots)
--- a/azurestep/mesh/backend/request_bytes.py
+++ b/azurestep/mesh/backend/request_bytes.py
@@ -7,7 +7,7 @@
 
 
 def first_bytes(
-    request: Request, content: bytes, whole: bool, budget_ms: float
+    request: Request, content: bytes, whole: bool, remaining_ms: float
 ) -> bytes:
     """Return the head and what is there of the body.
 
@@ -17,12 +17,12 @@
         What is there of the body.
     whole : bool
         Whether that is all of it.
-    budget_ms : float
+    remaining_ms : float
         Time after which the backend server stops work.
     """
     lines = [b"%b %b HTTP/1.1\r\n" % (request.method, request.target)]
     lines += to_backend(
-        request.headers, budget_ms, request.instance_id, request.calling_service
+        request.headers, remaining_ms, request.instance_id, request.calling_service
     )
     if whole:
         if content or request.length > 0 or request.method not in WITHOUT_BODY:
--- a/azurestep/mesh/backend/run.py
+++ b/azurestep/mesh/backend/run.py
@@ -50,7 +50,7 @@
         self.inbound = inbound
         self.request = request
         self.receiver = receiver
-        self.deadline_ms = now_ms + request.budget_ms
+        self.deadline_ms = now_ms + request.remaining_ms
         self.ticket = Ticket(
             request.route,
             request.priority,
@@ -67,7 +67,7 @@
         self._unacknowledged = 0
         self._ungranted = 0
         self._sent_ms = 0.0
-        self._held = request.held
+        self._held = request.needs_confirmation
         self._ready_ms = 0.0
         self._awaits_body = False
         self._hopeful: bool | None = None
@@ -155,8 +155,8 @@
         if self._held:
             self._ask_sender()
             return
-        fresh_ms = None if self.request.idempotent else FRESH_MS
-        connection = inbound.idle.take(inbound.runtime.loop.time(), fresh_ms)
+        max_idle_ms = None if self.request.idempotent else FRESH_MS
+        connection = inbound.idle.take(inbound.runtime.loop.time(), max_idle_ms)
         if connection is not None:
             self._send(connection)
             return
@@ -183,13 +183,13 @@
     def ask_for_body(self) -> None:
         """Ask the sender to let the request go, and for its body if that is long."""
         self._ready_ms = self.inbound.now_ms()
-        self.receiver.on_ready()
+        self.receiver.on_slot_ready()
 
     async def _connect(self) -> None:
         try:
             self._connected(await self.inbound.connect())
         except Exception as error:
-            self.take_fault(error)
+            self.on_fault(error)
 
     def _connected(self, connection: ClientConnection | None) -> None:
         if self.done:
@@ -211,8 +211,8 @@
         self._connection = connection
         self._sent_ms = self.inbound.now_ms()
         content = b"".join([self.request.body, *self._early])
-        budget_ms = self.inbound.admission.due_ms(self.ticket) - self._sent_ms
-        data = first_bytes(self.request, content, self._whole, budget_ms)
+        remaining_ms = self.inbound.admission.due_ms(self.ticket) - self._sent_ms
+        data = first_bytes(self.request, content, self._whole, remaining_ms)
         connection.send(data, self, self._whole)
         self._grant(sum(len(part) for part in self._early))
         self._early = []
@@ -276,7 +276,7 @@
             self.refuse(Reason.OTHER_INSTANCE)
         elif fields.not_run and parts.status != BAD_REQUEST:
             inbound.ran(failed=True)
-            self.refuse(Reason.BACKEND_REFUSED, arrived=True)
+            self.refuse(Reason.BACKEND_REFUSED, reached_backend=True)
         elif parts.is_good or parts.status >= FIRST_FAILURE_STATUS:
             self._finish_run()
             self.receiver.on_answer(self._answer(parts.take_body(), whole=True))
@@ -294,7 +294,7 @@
             len(body) if whole else parts.length_bytes,
             whole,
             body,
-            inbound.admission.busy,
+            inbound.admission.in_flight,
             inbound.admission.run_ms(self.request.route),
             self._sent_ms - self._submitted_ms,
             inbound.now_ms() - self._sent_ms,
@@ -349,7 +349,7 @@
 
     # Ends.
 
-    def refuse(self, reason: Reason, arrived: bool = False) -> None:
+    def refuse(self, reason: Reason, reached_backend: bool = False) -> None:
         """Say that the request has not run."""
         if self.done:
             return
@@ -357,7 +357,12 @@
         self._contain(self._log_refused, reason)
         admission = self.inbound.admission
         self.receiver.on_refusal(
-            Refusal(int(reason), admission.busy, admission.retry_ms(), arrived)
+            Refusal(
+                int(reason),
+                admission.in_flight,
+                admission.retry_after_ms(),
+                reached_backend,
+            )
         )
 
     def _log_refused(self, reason: Reason) -> None:
@@ -368,7 +373,7 @@
             reason=reason.name,
             instance=self.request.instance_id,
             running=len(admission.running),
-            busy=admission.busy,
+            busy=admission.in_flight,
             slots=admission.slots,
         )
         self.inbound.load.refused += 1
@@ -383,14 +388,14 @@
             self._contain(self.inbound.ran, True)
         self._end()
         self._contain(self._log_failed, reason)
-        self.receiver.on_failure(Failure(int(reason), self.inbound.admission.busy))
+        self.receiver.on_failure(Failure(int(reason), self.inbound.admission.in_flight))
 
-    def take_fault(self, error: Exception) -> None:
+    def on_fault(self, error: Exception) -> None:
         """End after a fault in a step of this run that nobody waits for."""
         runtime = self.inbound.runtime
-        runtime.fault("run", error, id=self.request.request_id)
+        runtime.report_fault("run", error, id=self.request.request_id)
         if not self.done:
-            runtime.contain("run", self.fault)
+            runtime.run_guarded("run", self.fault)
 
     def fault(self) -> None:
         """End after a fault of this program, which says nothing of the server.
@@ -400,8 +405,8 @@
         """
         self._end()
         self._contain(self._log_failed, Reason.FAULT)
-        busy = self.inbound.admission.busy
-        self.receiver.on_failure(Failure(int(Reason.FAULT), busy))
+        in_flight = self.inbound.admission.in_flight
+        self.receiver.on_failure(Failure(int(Reason.FAULT), in_flight))
 
     def _log_failed(self, reason: Reason) -> None:
         events.log(
@@ -432,7 +437,7 @@
         self._contain(self._drop_connection)
 
     def _contain(self, step: Callable[..., None], *arguments: object) -> None:
-        self.inbound.runtime.contain("run", step, *arguments)
+        self.inbound.runtime.run_guarded("run", step, *arguments)
 
     def _drop_connection(self) -> None:
         connection, self._connection = self._connection, None
--- a/azurestep/mesh/backend/state.py
+++ b/azurestep/mesh/backend/state.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from ...platform.announcement import Heartbeat, Leaving
-from ..incarnation import BIRTH_UNKNOWN, NO_INCARNATION, Incarnation
+from ...platform.announcement import Heartbeat, LeavingNotice
+from ..incarnation import NO_INCARNATION, START_UNKNOWN, Incarnation
 from ..messages import Reason, Request
 
 DRAIN_SHARE = 0.5
@@ -23,7 +23,7 @@
 
     Attributes
     ----------
-    born_ms : int or None
+    started_ms : int or None
         Its start; None until it told it.
     heartbeat : Heartbeat or None
         The newest one.
@@ -33,26 +33,28 @@
         Whether another one was found at its address.
     """
 
-    born_ms: int | None
+    started_ms: int | None
     heartbeat: Heartbeat | None = None
     leaving_since_ms: float | None = None
     ended: bool = False
 
-    def is_followed_by(self, born_ms: int | None) -> bool:
+    def is_followed_by(self, started_ms: int | None) -> bool:
         """Whether an incarnation with that start is a later one.
 
         One that ended before it told its start may have been an earlier one too.
         """
-        if born_ms is None:
+        if started_ms is None:
             return False
-        if self.born_ms is None:
+        if self.started_ms is None:
             return self.ended
-        return born_ms > self.born_ms
+        return started_ms > self.started_ms
 
-    def is_after(self, born_ms: int | None) -> bool:
+    def is_after(self, started_ms: int | None) -> bool:
         """Whether an incarnation with that start is an earlier one."""
         return (
-            born_ms is not None and self.born_ms is not None and born_ms < self.born_ms
+            started_ms is not None
+            and self.started_ms is not None
+            and started_ms < self.started_ms
         )
 
 
@@ -87,14 +89,14 @@
         if not self.instance_id:
             return NO_INCARNATION
         history = self._histories.get(self.instance_id)
-        born_ms = history.born_ms if history is not None else None
+        started_ms = history.started_ms if history is not None else None
         name = self.instance_id.encode("latin-1", "replace")
-        return Incarnation(name, born_ms or BIRTH_UNKNOWN)
+        return Incarnation(name, started_ms or START_UNKNOWN)
 
     def announce(self, heartbeat: Heartbeat, now_ms: float) -> None:
         """Take a heartbeat in; a late or overtaken one changes nothing."""
         name = heartbeat.instance_id
-        history = self._history(name, heartbeat.born_ms)
+        history = self._history(name, heartbeat.started_ms)
         if history is None:
             return
         if heartbeat.leaving:
@@ -112,9 +114,9 @@
         elif not heartbeat.leaving:
             self.doubted_id = name
 
-    def leave(self, notice: Leaving, now_ms: float) -> None:
+    def leave(self, notice: LeavingNotice, now_ms: float) -> None:
         """Take a leaving notice in."""
-        history = self._history(notice.instance_id, notice.born_ms)
+        history = self._history(notice.instance_id, notice.started_ms)
         if history is not None:
             self._begin_leaving(notice.instance_id, history, now_ms)
 
@@ -166,7 +168,7 @@
         """
         name = incarnation.instance_id.decode("latin-1")
         history = self._histories.get(name)
-        if history is not None and history.is_after(incarnation.born_ms or None):
+        if history is not None and history.is_after(incarnation.started_ms or None):
             return
         self._note_end(name)
         if name == self.instance_id:
@@ -191,15 +193,15 @@
         """Return why a request may not be sent to it; None if it may."""
         if not self.instance_id or self.service != request.service:
             return Reason.NO_BACKEND
-        if not self.incarnation.may_be(request.incarnation):
+        if not self.incarnation.matches(request.incarnation):
             return Reason.OTHER_INSTANCE
         return None if self.admits(now_ms) else Reason.LEAVING
 
-    def cold_ms(self, now_ms: float) -> float:
+    def cold_remaining_ms(self, now_ms: float) -> float:
         """Return how much longer the backend server is slow after its start."""
         return max(0.0, self._cold_until_ms - now_ms)
 
-    def _history(self, name: str, born_ms: int | None) -> History | None:
+    def _history(self, name: str, started_ms: int | None) -> History | None:
         """Return the history that news of an incarnation belong to.
 
         None if they are late news of a start before the newest one. A later start
@@ -207,12 +209,12 @@
         said of leaving does not hold.
         """
         history = self._histories.get(name)
-        if history is None or history.is_followed_by(born_ms):
-            history = self._histories[name] = History(born_ms)
-        if history.is_after(born_ms):
+        if history is None or history.is_followed_by(started_ms):
+            history = self._histories[name] = History(started_ms)
+        if history.is_after(started_ms):
             return None
-        if history.born_ms is None:
-            history.born_ms = born_ms
+        if history.started_ms is None:
+            history.started_ms = started_ms
         return history
 
     def _note_end(self, name: str) -> None:
@@ -235,4 +237,4 @@
     def _adopt(self, heartbeat: Heartbeat, now_ms: float) -> None:
         self.service = heartbeat.service
         self.slots = heartbeat.slots
-        self._cold_until_ms = now_ms + heartbeat.cold_ms
+        self._cold_until_ms = now_ms + heartbeat.cold_remaining_ms
--- a/azurestep/mesh/callers/answer_writer.py
+++ b/azurestep/mesh/callers/answer_writer.py
@@ -47,7 +47,7 @@
 
     def break_off(self) -> None:
         """End a long answer so that it can't look complete."""
-        self._exchange.break_off()
+        self._exchange.reset()
 
     def take_credit(self) -> int:
         """Return how many more bytes the sender may send, once for each of them."""
--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -48,7 +48,7 @@
         self.record = CallRecord(
             caller.request_id, route, target.service, target.version, attempt, now_ms
         )
-        budget_ms = min(caller.budget_ms or route.timeout_ms, route.timeout_ms)
+        remaining_ms = min(caller.remaining_ms or route.timeout_ms, route.timeout_ms)
         self.done = False
         self._body = RequestBody()
         self._outgoing = Outgoing(context, exchange, caller, self.record, self._body)
@@ -62,7 +62,7 @@
         self._writer = AnswerWriter(exchange)
         self._ending = Ending(context, exchange, self.record, self._writer)
         self._deadline = Deadline(
-            context.runtime, now_ms + budget_ms, context.answer_by_ms, self._on_timer
+            context.runtime, now_ms + remaining_ms, context.answer_by_ms, self._on_timer
         )
         context.under_way.add(self)
 
@@ -90,7 +90,7 @@
         else:
             self._dispatch()
 
-    def on_gone(self) -> None:
+    def on_disconnect(self) -> None:
         """Stop the request; its caller left."""
         if self.done:
             return
@@ -139,7 +139,7 @@
         if self._body.acknowledged(size):
             self.exchange.connection.resume_reading()
 
-    def on_ready(self) -> None:
+    def on_slot_ready(self) -> None:
         """Send a long body, which was kept until there was a slot for it."""
         endpoint = self._placement.endpoint
         if self._stream is None or endpoint is None:
@@ -234,21 +234,21 @@
         reason = Reason(refusal.reason)
         self._refusal = refusal
         if endpoint is not None:
-            endpoint.tell(refusal.busy)
+            endpoint.tell(refusal.in_flight)
             if reason is Reason.OVERLOADED:
                 self._placement.exclude(endpoint)
             else:
                 self._placement.avoid(endpoint)
-        if refusal.arrived:
+        if refusal.reached_backend:
             self.record.runs += 1
         may_repeat = not self._body.streamed and self.record.asked < ASKED_MOST
-        if refusal.arrived and may_repeat:
+        if refusal.reached_backend and may_repeat:
             may_repeat = self._may_run_again()
         if may_repeat:
             self._log_retry(reason)
             self._dispatch()
         else:
-            self._refuse(reason, refusal.retry_ms)
+            self._refuse(reason, refusal.retry_after_ms)
 
     def on_failure(self, failure: Failure) -> None:
         """Run an idempotent request elsewhere; fail another one: it may have run."""
@@ -281,8 +281,8 @@
         endpoint = self._placement.endpoint
         self.record.answered(answer)
         if endpoint is not None:
-            endpoint.run_ms[self.route.name] = answer.run_ms
-            self.context.usual.learn(self.route.name, answer.run_ms)
+            endpoint.run_ms[self.route.name] = answer.mean_run_ms
+            self.context.usual.learn(self.route.name, answer.mean_run_ms)
         if self._is_error(answer) and not self._body.streamed:
             self.record.runs += 1
             self._unsure_runs += 1
@@ -290,7 +290,7 @@
                 return
         self._placement.leave()
         if endpoint is not None:
-            endpoint.tell(answer.busy)
+            endpoint.tell(answer.in_flight)
         self._pass_on(answer)
 
     def _is_bettered(self, answer: Answer, endpoint: Endpoint | None) -> bool:
@@ -374,14 +374,14 @@
         if refusal is None:
             self._refuse(Reason.NO_BACKEND, RETRY_WITHOUT_BACKEND_MS)
         else:
-            self._refuse(Reason(refusal.reason), refusal.retry_ms)
+            self._refuse(Reason(refusal.reason), refusal.retry_after_ms)
 
-    def _refuse(self, reason: Reason, retry_ms: float) -> None:
+    def _refuse(self, reason: Reason, retry_after_ms: float) -> None:
         if self._unsure_runs:
             self._fail(reason)
             return
         self._close(cancel=True)
-        self._ending.refused(reason, retry_ms)
+        self._ending.refused(reason, retry_after_ms)
 
     def _fail(self, reason: Reason) -> None:
         if self._return_to_former():
@@ -403,7 +403,7 @@
             self._on_timeout()
         except Exception as error:
             name = self.caller.request_id
-            self.context.runtime.fault("timer", error, id=name)
+            self.context.runtime.report_fault("timer", error, id=name)
             self.on_fault()
 
     def _on_timeout(self) -> None:
@@ -452,7 +452,7 @@
         """Answer 502 after a fault of this program: the request may have run."""
         if self.exchange.finished:
             return
-        self.context.runtime.contain("call", self._close, True)
+        self.context.runtime.run_guarded("call", self._close, True)
         self.done = True
         self._ending.fault()
 
--- a/azurestep/mesh/callers/context.py
+++ b/azurestep/mesh/callers/context.py
@@ -64,9 +64,9 @@
         """Return what a request that has just come is an attempt of."""
         now_ms = self.runtime.now_ms()
         place = (exchange.method, caller.host, exchange.target)
-        if caller.budget_ms is None:
+        if caller.remaining_ms is None:
             return Attempt(place, now_ms, now_ms)
-        deadline_at_ms = now_ms + caller.budget_ms
+        deadline_at_ms = now_ms + caller.remaining_ms
         first_ms = self.returning.first_ms(place, now_ms, deadline_at_ms)
         return Attempt(place, first_ms, deadline_at_ms, first_ms < now_ms)
 
--- a/azurestep/mesh/callers/ending.py
+++ b/azurestep/mesh/callers/ending.py
@@ -36,7 +36,7 @@
             self.context.returning.remember(record.attempt)
         record.log_end(status, now_ms)
 
-    def refused(self, reason: Reason, retry_ms: float) -> None:
+    def refused(self, reason: Reason, retry_after_ms: float) -> None:
         """Answer that the request has not run, and when to come back."""
         runtime, record = self.context.runtime, self.record
         record.log_refused(UNAVAILABLE, reason, runtime.now_ms())
@@ -44,7 +44,7 @@
         if reason in NO_ROOM:
             self.context.refusals.refused(record.route.name)
         self.context.returning.remember(record.attempt)
-        answer_refused(runtime, self.exchange, record.request_id, retry_ms)
+        answer_refused(runtime, self.exchange, record.request_id, retry_after_ms)
 
     def failed(self, reason: Reason, status: int = BAD_GATEWAY) -> None:
         """Answer that the request may have run, or break its answer off."""
@@ -57,9 +57,9 @@
     def fault(self) -> None:
         """Answer after a fault of this program: the request may have run."""
         runtime = self.context.runtime
-        runtime.contain("call", self._count_failed, Reason.FAULT, BAD_GATEWAY)
+        runtime.run_guarded("call", self._count_failed, Reason.FAULT, BAD_GATEWAY)
         if self.exchange.started:
-            self.exchange.break_off()
+            self.exchange.reset()
         else:
             headers = id_header(self.record.request_id)
             self.exchange.answer(BAD_GATEWAY, headers, b"")
--- a/azurestep/mesh/callers/former_run.py
+++ b/azurestep/mesh/callers/former_run.py
@@ -52,7 +52,7 @@
 
     def on_refusal(self, refusal: Refusal) -> None:
         """Tell that it did not run after all."""
-        self.owner.on_former_lost(self, may_have_run=refusal.arrived)
+        self.owner.on_former_lost(self, may_have_run=refusal.reached_backend)
 
     def on_failure(self, failure: Failure) -> None:
         """Tell that it failed."""
@@ -61,7 +61,7 @@
     def on_credit(self, size: int) -> None:
         """Ignore; its body was whole when it was sent."""
 
-    def on_ready(self) -> None:
+    def on_slot_ready(self) -> None:
         """Ignore; it was let go long ago."""
 
     def on_doubt(self, let_go: bool) -> None:
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -56,7 +56,7 @@
         if not name:
             exchange.sink = Rejection(context.runtime, exchange, name, BAD_REQUEST)
             return
-        service = table.service_of(route)
+        service = table.choose_service(route)
         attempt = context.attempt(exchange, caller)
         if self._sheds(service, route.priority):
             exchange.sink = Rejection(
@@ -112,13 +112,13 @@
         self.runtime.metrics.count("calls", f"rejected_{self.status}")
         if self.status == UNAVAILABLE:
             shed = self.reason is Reason.PRESSURE
-            retry_ms = RETRY_SHED_MS if shed else RETRY_WITHOUT_BACKEND_MS
-            answer_refused(self.runtime, self.exchange, self.request_id, retry_ms)
+            retry_after_ms = RETRY_SHED_MS if shed else RETRY_WITHOUT_BACKEND_MS
+            answer_refused(self.runtime, self.exchange, self.request_id, retry_after_ms)
         else:
             headers = id_header(self.request_id)
             self.exchange.answer(self.status, headers, b"")
 
-    def on_gone(self) -> None:
+    def on_disconnect(self) -> None:
         """Forget the request."""
 
     def on_writable(self) -> None:
--- a/azurestep/mesh/callers/outgoing.py
+++ b/azurestep/mesh/callers/outgoing.py
@@ -55,9 +55,9 @@
             -1 if exchange.chunked else exchange.length,
             body.whole and not bulk,
             b"" if bulk else body.content(),
-            endpoint.incarnation.born_ms,
+            endpoint.incarnation.started_ms,
             self.context.usual.known(route.name),
-            held=not body.streamed and (bulk or not self.is_movable()),
+            needs_confirmation=not body.streamed and (bulk or not self.is_movable()),
         )
 
     def is_movable(self) -> bool:
--- a/azurestep/mesh/callers/own_answers.py
+++ b/azurestep/mesh/callers/own_answers.py
@@ -20,12 +20,12 @@
 
 
 def answer_refused(
-    runtime: Runtime, exchange: Exchange, request_id: bytes, retry_ms: float
+    runtime: Runtime, exchange: Exchange, request_id: bytes, retry_after_ms: float
 ) -> None:
     """Answer that a request has not run, and when to come back."""
     spread = 1 + RETRY_SPREAD * (2 * runtime.random.random() - 1)
     headers = id_header(request_id)
-    headers.append((b"Retry-After", b"%.3f" % (retry_ms * spread / 1000)))
+    headers.append((b"Retry-After", b"%.3f" % (retry_after_ms * spread / 1000)))
     exchange.answer(UNAVAILABLE, headers, b"")
 
 
--- a/azurestep/mesh/callers/record.py
+++ b/azurestep/mesh/callers/record.py
@@ -67,7 +67,7 @@
     def log_gone(self, now_ms: float) -> None:
         """Log that the caller left."""
         events.log(
-            events.CALL_GONE,
+            events.CALLER_DISCONNECTED,
             id=self.request_id,
             route=self.route.name,
             instance=self.instance,
--- a/azurestep/mesh/decisions/admission.py
+++ b/azurestep/mesh/decisions/admission.py
@@ -41,7 +41,7 @@
 class Refused:
     """A request gets no slot in time."""
 
-    retry_ms: float
+    retry_after_ms: float
 
 
 @attrs.define(slots=True)
@@ -66,7 +66,7 @@
     _usual_ms: dict[str, float] = attrs.field(factory=dict)
 
     @property
-    def busy(self) -> int:
+    def in_flight(self) -> int:
         """Requests that run or wait."""
         return len(self.running) + len(self._waiting)
 
@@ -80,9 +80,9 @@
         known = self._run_ms.get(route)
         return self._usual_ms.get(route, RUN_FIRST_MS) if known is None else known
 
-    def expect(self, route: str, usual_ms: float) -> None:
+    def expect(self, route: str, mean_run_ms: float) -> None:
         """Learn how long a route's requests take at other backend servers."""
-        self._usual_ms[route] = usual_ms
+        self._usual_ms[route] = mean_run_ms
 
     def learn(self, route: str, run_ms: float) -> None:
         """Take the run time of one request in."""
@@ -112,13 +112,13 @@
         """
         end_ms = now_ms + self.run_ms(ticket.route)
         if end_ms > self.closes_ms:
-            return Refused(self.retry_ms())
+            return Refused(self.retry_after_ms())
         if len(self.running) < self.slots and not self._waiting:
             self.running.add(ticket)
             return True
         end_ms += self._wait_ms(ticket, now_ms)
         if end_ms > min(self.due_ms(ticket), ticket.objective_at_ms):
-            return Refused(self.retry_ms())
+            return Refused(self.retry_after_ms())
         self._waiting.append(ticket)
         return False
 
@@ -164,7 +164,7 @@
         """Whether a request that runs from now on is likely to end when it must."""
         return now_ms + self.run_ms(ticket.route) <= self.due_ms(ticket)
 
-    def retry_ms(self) -> float:
+    def retry_after_ms(self) -> float:
         """Return after which time a slot is likely for a caller who comes back."""
         work_ms = sum(self.run_ms(ticket.route) for ticket in self._waiting)
         return RETRY_LEAST_MS + work_ms / self.slots
--- a/azurestep/mesh/decisions/choice.py
+++ b/azurestep/mesh/decisions/choice.py
@@ -44,7 +44,7 @@
     ----------
     open : bool
         Whether it takes new requests.
-    busy : int
+    in_flight : int
         Requests that ran or waited there when its node last told.
     mine, mine_told : int
         This node's requests there now, and when that was told.
@@ -52,7 +52,7 @@
         Until when it is slow after its start.
     failed_until_ms : float
         Until when it is chosen only without another.
-    failing : float
+    failure_ratio : float
         Share of its runs that failed of late, from 0 to 1.
     doubted : bool
         Whether its node owes an answer to a probe; the same holds.
@@ -64,23 +64,23 @@
     data_centre: str
     open: bool = True
     slots: int = 1
-    busy: int = 0
+    in_flight: int = 0
     mine: int = 0
     mine_told: int = 0
     cold_until_ms: float = 0.0
     run_ms: dict[str, float] = attrs.field(factory=dict)
     failed_until_ms: float = 0.0
-    failing: float = 0.0
+    failure_ratio: float = 0.0
     doubted: bool = False
 
     @property
     def load(self) -> float:
         """Requests that are likely to run or wait there now."""
-        return max(self.mine, self.busy - self.mine_told + self.mine)
+        return max(self.mine, self.in_flight - self.mine_told + self.mine)
 
-    def tell(self, busy: int) -> None:
+    def tell(self, in_flight: int) -> None:
         """Take news of the requests there in."""
-        self.busy = busy
+        self.in_flight = in_flight
         self.mine_told = self.mine
 
 
@@ -92,7 +92,7 @@
     ----------
     objective_ms : float
         Time left until the answer loses value.
-    usual_ms : float
+    mean_run_ms : float
         Run time of this route at backend servers that did not tell theirs.
     size_kib : float
         Bytes that would cross between data centres, in KiB.
@@ -103,7 +103,7 @@
     service: str
     route: str
     objective_ms: float
-    usual_ms: float
+    mean_run_ms: float
     size_kib: float
     data_centre: str
 
@@ -176,14 +176,14 @@
 
 
 def _value(endpoint: Endpoint, wish: Wish, now_ms: float) -> float:
-    run_ms = endpoint.run_ms.get(wish.route, wish.usual_ms)
+    run_ms = endpoint.run_ms.get(wish.route, wish.mean_run_ms)
     if now_ms < endpoint.cold_until_ms:
         run_ms *= COLD_FACTOR
     load = endpoint.load
     wait_ms = max(0.0, load + 1 - endpoint.slots) / endpoint.slots * run_ms
     objective_ms = max(wish.objective_ms, 1.0)
     value = 1.0 / (1.0 + ((wait_ms + run_ms) / objective_ms) ** OBJECTIVE_STEEPNESS)
-    value -= FAILURE_COST * endpoint.failing
+    value -= FAILURE_COST * endpoint.failure_ratio
     value -= BALANCE_WEIGHT * (load / endpoint.slots) ** 2
     if now_ms < endpoint.failed_until_ms or endpoint.doubted:
         value -= 1.0
--- a/azurestep/mesh/decisions/health.py
+++ b/azurestep/mesh/decisions/health.py
@@ -26,7 +26,7 @@
     >>> health = Health()
     >>> for failed in (True, True, False, True):
     ...     health.record(failed)
-    >>> health.failing
+    >>> health.failure_ratio
     0.5
     """
 
@@ -49,7 +49,7 @@
         self._runs = self._failures = 0.0
 
     @property
-    def failing(self) -> float:
+    def failure_ratio(self) -> float:
         """Share of the runs that fail, from 0 to 1, in steps."""
         share = self._failures / (self._runs + PRIOR_RUNS)
         return round(round(share / STEP) * STEP, 2)
--- a/azurestep/mesh/endpoints.py
+++ b/azurestep/mesh/endpoints.py
@@ -4,7 +4,7 @@
 
 from ..errors import MessageMalformedError
 from ..http.server import Exchange, Handler
-from ..platform.announcement import Heartbeat, Leaving, read_announcement
+from ..platform.announcement import Heartbeat, LeavingNotice, read_announcement
 from . import events
 from .backend.state import Backend
 from .runtime import Runtime
@@ -75,7 +75,9 @@
 
 
 def _check_service(
-    notice: Heartbeat | Leaving, backend: Backend, is_service: Callable[[str], bool]
+    notice: Heartbeat | LeavingNotice,
+    backend: Backend,
+    is_service: Callable[[str], bool],
 ) -> None:
     """Refuse a heartbeat that names a service which no route could lead to.
 
@@ -99,7 +101,7 @@
     events.log(
         event,
         instance=backend.instance_id,
-        born_ms=backend.incarnation.born_ms,
+        born_ms=backend.incarnation.started_ms,
         service=backend.service,
         slots=backend.slots,
     )
@@ -138,7 +140,7 @@
         """Answer."""
         self._respond(self._exchange, b"".join(self._parts))
 
-    def on_gone(self) -> None:
+    def on_disconnect(self) -> None:
         """Forget the request."""
 
     def on_writable(self) -> None:
--- a/azurestep/mesh/events.py
+++ b/azurestep/mesh/events.py
@@ -18,7 +18,7 @@
     "a part of the node ended by an error",
     "report the cause; restart the node if it does not serve",
 )
-PAUSED = register(
+LOOP_STALLED = register(
     9008,
     logging.WARNING,
     "this node stood still",
@@ -78,7 +78,7 @@
     "look at the backend server; requests go to others until it is back",
 )
 BACKEND_REACHED = register(9304, logging.INFO, "the backend server takes connections")
-OTHER_INSTANCE = register(
+BACKEND_REPLACED = register(
     9305, logging.INFO, "another backend server answers at the address"
 )
 ANNOUNCEMENT_REFUSED = register(
@@ -87,7 +87,7 @@
     "an announcement can't be read",
     "compare it with the agreed heartbeat",
 )
-CONNECTION_FORGOTTEN = register(
+IDLE_CONNECTION_LOST = register(
     9308, logging.INFO, "the backend server had forgotten an idle connection"
 )
 CRASH_SUSPECTED = register(
@@ -108,7 +108,7 @@
     "request failed, it may have run",
     "look for its id at the node beside the backend server that the line names",
 )
-CALL_GONE = register(9404, logging.INFO, "the caller left before the answer")
+CALLER_DISCONNECTED = register(9404, logging.INFO, "the caller left before the answer")
 CALL_RETRIED = register(9405, logging.INFO, "request goes to another backend server")
 RUN_REFUSED = register(9501, logging.INFO, "run refused beside the backend server")
 RUN_FAILED = register(
@@ -117,7 +117,7 @@
     "run without a whole answer",
     "look at the backend server at that time; the reason says how it broke off",
 )
-EXTRA_ANSWER = register(9503, logging.INFO, "answer to another request skipped")
+UNMATCHED_ANSWER = register(9503, logging.INFO, "answer to another request skipped")
 RUN_CANCELLED = register(
     9504, logging.INFO, "run cancelled by the node that sent it, before its answer"
 )
--- a/azurestep/mesh/incarnation.py
+++ b/azurestep/mesh/incarnation.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-BIRTH_UNKNOWN = 0
+START_UNKNOWN = 0
 """Start of an incarnation that did not tell it."""
 
 
@@ -17,28 +17,28 @@
     ----------
     instance_id : bytes
         Id under which it announced itself; empty for none.
-    born_ms : int
-        Its start in Unix milliseconds; ``BIRTH_UNKNOWN`` where it was not told.
+    started_ms : int
+        Its start in Unix milliseconds; ``START_UNKNOWN`` where it was not told.
     """
 
     instance_id: bytes
-    born_ms: int = BIRTH_UNKNOWN
+    started_ms: int = START_UNKNOWN
 
-    def may_be(self, other: "Incarnation") -> bool:
+    def matches(self, other: "Incarnation") -> bool:
         """Whether both may be the same start, as far as it is told.
 
         Examples
         --------
-        >>> Incarnation(b"a", 5).may_be(Incarnation(b"a"))
+        >>> Incarnation(b"a", 5).matches(Incarnation(b"a"))
         True
-        >>> Incarnation(b"a", 5).may_be(Incarnation(b"a", 6))
+        >>> Incarnation(b"a", 5).matches(Incarnation(b"a", 6))
         False
         """
         if self.instance_id != other.instance_id:
             return False
-        if BIRTH_UNKNOWN in (self.born_ms, other.born_ms):
+        if START_UNKNOWN in (self.started_ms, other.started_ms):
             return True
-        return self.born_ms == other.born_ms
+        return self.started_ms == other.started_ms
 
 
 NO_INCARNATION = Incarnation(b"")
--- a/azurestep/mesh/knowledge/configuration.py
+++ b/azurestep/mesh/knowledge/configuration.py
@@ -72,4 +72,4 @@
     def _table_of(self, document: Document) -> RoutingTable:
         if self.table is None:
             return RoutingTable(document, self.random)
-        return self.table.followed_by(document)
+        return self.table.updated_to(document)
--- a/azurestep/mesh/knowledge/discovery.py
+++ b/azurestep/mesh/knowledge/discovery.py
@@ -14,7 +14,7 @@
     Appended,
     AppendOutcome,
     Fenced,
-    Newest,
+    LatestRecords,
     Producer,
     StoreClient,
 )
@@ -79,8 +79,8 @@
         return outcome
 
     async def _read(self) -> bool:
-        outcome = await self.client.newest(MEMBERS_TOPIC)
-        if not isinstance(outcome, Newest):
+        outcome = await self.client.read_latest(MEMBERS_TOPIC)
+        if not isinstance(outcome, LatestRecords):
             return False
         if outcome.unreadable:
             events.log(
--- a/azurestep/mesh/knowledge/following.py
+++ b/azurestep/mesh/knowledge/following.py
@@ -10,7 +10,13 @@
 
 import attrs
 
-from ...platform.store import Forgotten, Newest, Records, StoreClient, split_keyed
+from ...platform.store import (
+    LatestRecords,
+    Records,
+    StoreClient,
+    Truncated,
+    parse_keyed_record,
+)
 from ...platform.topics import CONFIGURATION_KEY, OPERATOR_TOPIC
 from .. import events
 from ..links.members import Members
@@ -36,7 +42,7 @@
 
     Attributes
     ----------
-    store_ok : bool
+    store_reachable : bool
         Whether the last call to the store was answered.
     on_store_change : Callable
         Called when that changed.
@@ -47,7 +53,7 @@
     configuration: Configuration
     members: Members
     on_store_change: Callable[[], None]
-    store_ok: bool = True
+    store_reachable: bool = True
     _offset: int | None = None
     _failures: int = 0
     _behind_since_ms: float | None = None
@@ -72,7 +78,7 @@
         """Ask another node for a version that this one lacks."""
         newest = None
         for link in self.members.alive():
-            version = link.state.version if link.state is not None else 0
+            version = link.state.configuration_version if link.state is not None else 0
             if version <= self.configuration.version:
                 continue
             near = link.endpoint.data_centre == self.members.data_centre
@@ -98,7 +104,7 @@
             if link.endpoint.data_centre == self.members.data_centre
             and link.address[0] < own
             and link.state is not None
-            and link.state.store_ok
+            and link.state.store_reachable
             and not link.state.stopping
         ]
 
@@ -111,7 +117,7 @@
             self._offset = outcome.next_offset
             self._offer_newest(outcome.values)
             return True
-        if isinstance(outcome, Forgotten):
+        if isinstance(outcome, Truncated):
             self._answered()
             self._offset = None
             return True
@@ -125,7 +131,7 @@
                 return
 
     def _takes(self, record: bytes) -> bool:
-        keyed = split_keyed(record)
+        keyed = parse_keyed_record(record)
         if keyed is None:
             events.log(events.RECORD_UNREADABLE, topic=OPERATOR_TOPIC, records=1)
             return False
@@ -134,8 +140,8 @@
         return self.configuration.offer(keyed.value, STORE)
 
     async def _read_newest(self) -> bool:
-        outcome = await self.client.newest(OPERATOR_TOPIC)
-        if not isinstance(outcome, Newest):
+        outcome = await self.client.read_latest(OPERATOR_TOPIC)
+        if not isinstance(outcome, LatestRecords):
             self._unanswered(repr(outcome))
             return False
         self._answered()
@@ -172,14 +178,14 @@
         return pause * (0.75 + self.runtime.random.random() / 2)
 
     def _answered(self) -> None:
-        if not self.store_ok:
-            self.store_ok = True
+        if not self.store_reachable:
+            self.store_reachable = True
             events.log(events.STORE_REACHED)
             self.on_store_change()
 
     def _unanswered(self, cause: str) -> None:
         self.runtime.metrics.count("store_failures")
-        if self.store_ok:
-            self.store_ok = False
+        if self.store_reachable:
+            self.store_reachable = False
             events.log(events.STORE_LOST, cause=cause)
             self.on_store_change()
--- a/azurestep/mesh/line_writer.py
+++ b/azurestep/mesh/line_writer.py
@@ -41,13 +41,13 @@
     ----------
     descriptor : int
         Where lines go.
-    left_out : int
+    dropped : int
         Lines left out since the last note of it.
     """
 
     descriptor: int = 1
     clock: Callable[[], float] = time.monotonic
-    left_out: int = 0
+    dropped: int = 0
     _lines: list[bytes] = attrs.field(factory=list)
     _rest: bytes = b""
     _tokens: float = BURST_LINES
@@ -80,16 +80,16 @@
         urgent = event.level >= logging.ERROR
         least = RESERVED_LINES if routine else 1
         if (self._tokens < least and not urgent) or len(self._lines) >= BUFFER_LINES:
-            self.left_out += 1
+            self.dropped += 1
             return
         self._tokens -= 1
         self._lines.append(_line(event, fields))
 
     def flush(self) -> None:
         """Write what standard output takes now."""
-        if self.left_out and self._tokens >= 1 and len(self._lines) < BUFFER_LINES:
-            left_out, self.left_out = self.left_out, 0
-            self._lines.append(_line(LINES_LEFT_OUT, {"lines": left_out}))
+        if self.dropped and self._tokens >= 1 and len(self._lines) < BUFFER_LINES:
+            dropped, self.dropped = self.dropped, 0
+            self._lines.append(_line(LINES_LEFT_OUT, {"lines": dropped}))
         if not self._rest:
             self._rest = b"".join(self._lines)
             self._lines = []
--- a/azurestep/mesh/link_messages.py
+++ b/azurestep/mesh/link_messages.py
@@ -36,12 +36,12 @@
 
 
 @attrs.frozen(slots=True)
-class Go:
+class Proceed:
     """Lets a held request go."""
 
 
 @attrs.frozen(slots=True)
-class Ready:
+class SlotReady:
     """Asks whether a held request, which has a slot now, still stands."""
 
 
@@ -61,12 +61,12 @@
 
 
 @attrs.frozen(slots=True)
-class ConfigurationWanted:
+class ConfigurationQuery:
     """Asks for the configuration that the other node holds."""
 
 
 @attrs.frozen(slots=True)
-class ConfigurationNews:
+class ConfigurationUpdate:
     """A configuration that a node holds."""
 
     version: int
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen(slots=True)
-class CrashNews:
+class CrashReport:
     """Which requests were under way as backend servers of a service died."""
 
     service: str
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -9,11 +9,11 @@
 from .. import events
 from ..link_messages import (
     AnswerData,
-    ConfigurationNews,
-    CrashNews,
+    ConfigurationUpdate,
+    CrashReport,
     Credit,
     Pong,
-    Ready,
+    SlotReady,
 )
 from ..messages import (
     Answer,
@@ -124,7 +124,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail what is unanswered; it may have run."""
-        self.link.runtime.contain("link_out", self.link.on_connection_lost, self)
+        self.link.runtime.run_guarded("link_out", self.link.on_connection_lost, self)
         self._fail_streams()
 
     def data_received(self, data: bytes) -> None:
@@ -149,10 +149,10 @@
         """End the request that met a fault of this program; the others go on."""
         runtime = self.link.runtime
         name = b"" if stream is None else stream.request_id
-        runtime.fault("link_out", error, id=name)
+        runtime.report_fault("link_out", error, id=name)
         if stream is not None:
             stream.cancel()
-            runtime.contain("call", stream.receiver.on_fault)
+            runtime.run_guarded("call", stream.receiver.on_fault)
 
     def open(self, request: Request, receiver: CallReceiver) -> RemoteStream:
         """Send a request."""
@@ -161,8 +161,8 @@
             self,
             self._next,
             receiver,
-            movable=request.idempotent and not request.held,
-            let_go=not request.held,
+            movable=request.idempotent and not request.needs_confirmation,
+            let_go=not request.needs_confirmation,
             request_id=request.request_id,
         )
         self.streams[self._next] = stream
@@ -259,10 +259,10 @@
     def _pong(self, _: None, pong: Pong) -> None:
         """Any message is a sign of life."""
 
-    def _configuration(self, _: None, news: ConfigurationNews) -> None:
+    def _configuration(self, _: None, news: ConfigurationUpdate) -> None:
         self.link.fleet.on_configuration(news.version, news.content)
 
-    def _crashes(self, _: None, news: CrashNews) -> None:
+    def _crashes(self, _: None, news: CrashReport) -> None:
         self.link.fleet.on_crashes(news.service, news.updates)
 
     def _answer(self, stream: RemoteStream, answer: Answer) -> None:
@@ -283,10 +283,10 @@
         self.streams.pop(stream.number, None)
         stream.receiver.on_failure(failure)
 
-    def _ready(self, stream: RemoteStream, _: Ready) -> None:
+    def _ready(self, stream: RemoteStream, _: SlotReady) -> None:
         stream.let_go = True
-        self.send(Kind.GO, stream.number)
-        stream.receiver.on_ready()
+        self.send(Kind.PROCEED, stream.number)
+        stream.receiver.on_slot_ready()
 
     def _credit(self, stream: RemoteStream, credit: Credit) -> None:
         stream.receiver.on_credit(credit.size)
@@ -296,13 +296,13 @@
     State: PeerConnection._tell_state,
     Hello: PeerConnection._greet,
     Pong: PeerConnection._pong,
-    ConfigurationNews: PeerConnection._configuration,
-    CrashNews: PeerConnection._crashes,
+    ConfigurationUpdate: PeerConnection._configuration,
+    CrashReport: PeerConnection._crashes,
     Answer: PeerConnection._answer,
     AnswerData: PeerConnection._answer_data,
     Refusal: PeerConnection._refusal,
     Failure: PeerConnection._failure,
-    Ready: PeerConnection._ready,
+    SlotReady: PeerConnection._ready,
     Credit: PeerConnection._credit,
 }
 """What is done with a message, by its type: a table costs less than ``singledispatch``,
--- a/azurestep/mesh/links/decoding.py
+++ b/azurestep/mesh/links/decoding.py
@@ -17,19 +17,19 @@
     AnswerData,
     Body,
     Cancel,
-    ConfigurationNews,
-    ConfigurationWanted,
-    CrashNews,
+    ConfigurationQuery,
+    ConfigurationUpdate,
+    CrashReport,
     Credit,
-    Go,
     Ping,
     Pong,
-    Ready,
+    Proceed,
+    SlotReady,
     Withdraw,
 )
 from ..messages import (
     BUFFER_BYTES,
-    FORMAT,
+    PROTOCOL_VERSION,
     Answer,
     Failure,
     Hello,
@@ -61,16 +61,16 @@
     | Body
     | Cancel
     | Withdraw
-    | Go
-    | Ready
+    | Proceed
+    | SlotReady
     | Credit
     | Answer
     | AnswerData
     | Refusal
     | Failure
-    | ConfigurationWanted
-    | ConfigurationNews
-    | CrashNews
+    | ConfigurationQuery
+    | ConfigurationUpdate
+    | CrashReport
 )
 Number = Annotated[int, msgspec.Meta(ge=1)]
 
@@ -127,17 +127,17 @@
 
 def _hello(*fields: Any) -> Hello:
     hello = Hello(*fields)
-    if hello.format != FORMAT:
+    if hello.format != PROTOCOL_VERSION:
         raise ValueError(f"protocol format {hello.format}")
     return hello
 
 
-def _configuration(version: int, data: bytes) -> ConfigurationNews:
-    return ConfigurationNews(version, decompress(data))
+def _configuration(version: int, data: bytes) -> ConfigurationUpdate:
+    return ConfigurationUpdate(version, decompress(data))
 
 
-def _crashes(service: str, rows: Iterable[Any]) -> CrashNews:
-    return CrashNews(service, decode_updates(rows))
+def _crashes(service: str, rows: Iterable[Any]) -> CrashReport:
+    return CrashReport(service, decode_updates(rows))
 
 
 _HELLO = _shape(Hello, _hello, of_request=False)
@@ -151,23 +151,23 @@
     Kind.BODY: _shape(Body),
     Kind.CANCEL: _shape(Cancel),
     Kind.WITHDRAW: _shape(Withdraw),
-    Kind.GO: _shape(Go),
+    Kind.PROCEED: _shape(Proceed),
     Kind.CREDIT: _CREDIT,
-    Kind.CONFIGURATION_WANTED: _shape(ConfigurationWanted, of_request=False),
+    Kind.CONFIGURATION_QUERY: _shape(ConfigurationQuery, of_request=False),
 }
 """What the node that opened a link sends."""
 OF_CALLED_NODES: Shapes = {
     Kind.HELLO: _HELLO,
     Kind.STATE: _shape(State, of_request=False),
     Kind.PONG: _shape(Pong, of_request=False),
-    Kind.READY: _shape(Ready),
+    Kind.SLOT_READY: _shape(SlotReady),
     Kind.CREDIT: _CREDIT,
     Kind.ANSWER: _shape(Answer),
     Kind.ANSWER_DATA: _shape(AnswerData),
     Kind.REFUSAL: _shape(Refusal, reason=Reason),
     Kind.FAILURE: _shape(Failure, reason=Reason),
-    Kind.CONFIGURATION: _shape(ConfigurationNews, _configuration, of_request=False),
-    Kind.CRASHES: _shape(CrashNews, _crashes, of_request=False, updates=_CRASH_ROWS),
+    Kind.CONFIGURATION: _shape(ConfigurationUpdate, _configuration, of_request=False),
+    Kind.CRASHES: _shape(CrashReport, _crashes, of_request=False, updates=_CRASH_ROWS),
 }
 """What the node that a link leads to sends."""
 
--- a/azurestep/mesh/links/guarded.py
+++ b/azurestep/mesh/links/guarded.py
@@ -42,13 +42,13 @@
         """Pass on that bytes of the body were taken."""
         self._tell(self.receiver.on_credit, size)
 
-    def on_ready(self) -> None:
+    def on_slot_ready(self) -> None:
         """Pass on that there is a slot."""
-        self._tell(self.receiver.on_ready)
+        self._tell(self.receiver.on_slot_ready)
 
     def _tell(self, hear: Callable[..., None], *news: Any) -> None:
         try:
             hear(*news)
         except Exception as error:
-            self.runtime.fault("call", error, id=self.request_id)
-            self.runtime.contain("call", self.receiver.on_fault)
+            self.runtime.report_fault("call", error, id=self.request_id)
+            self.runtime.run_guarded("call", self.receiver.on_fault)
--- a/azurestep/mesh/links/link.py
+++ b/azurestep/mesh/links/link.py
@@ -115,7 +115,7 @@
     def ask_configuration(self) -> None:
         """Ask the node for the configuration that it holds."""
         if self.connection is not None:
-            self.connection.send(Kind.CONFIGURATION_WANTED)
+            self.connection.send(Kind.CONFIGURATION_QUERY)
 
     def dial_soon(self) -> None:
         """Try to reach the node at the next tick."""
@@ -144,17 +144,17 @@
             return
         former, self.state = self.state, state
         endpoint = self.endpoint
-        incarnation = Incarnation(state.instance_id, state.born_ms)
-        if not endpoint.incarnation.may_be(incarnation):
+        incarnation = Incarnation(state.instance_id, state.server_started_ms)
+        if not endpoint.incarnation.matches(incarnation):
             endpoint.run_ms.clear()
             endpoint.failed_until_ms = 0.0
         endpoint.service = state.service
         endpoint.incarnation = incarnation
         endpoint.open = state.open
         endpoint.slots = state.slots
-        endpoint.failing = state.failing
-        endpoint.cold_until_ms = self.runtime.now_ms() + state.cold_ms
-        endpoint.tell(state.busy)
+        endpoint.failure_ratio = state.failure_ratio
+        endpoint.cold_until_ms = self.runtime.now_ms() + state.cold_remaining_ms
+        endpoint.tell(state.in_flight)
         if former is None or _matters(former) != _matters(state):
             self.news.on_state(self, state)
 
@@ -189,4 +189,4 @@
 
 def _matters(state: State) -> tuple[bool, bool]:
     """Return what decides who reads the configuration."""
-    return state.store_ok, state.stopping
+    return state.store_reachable, state.stopping
--- a/azurestep/mesh/links/members.py
+++ b/azurestep/mesh/links/members.py
@@ -86,8 +86,8 @@
     ) -> Stream | None:
         """Send a request to the node beside a backend server."""
         if endpoint is self._own:
-            if request.held:
-                request = attrs.evolve(request, held=False)
+            if request.needs_confirmation:
+                request = attrs.evolve(request, needs_confirmation=False)
             guarded = GuardedReceiver(self.runtime, receiver, request.request_id)
             return self.inbound.submit(request, guarded)
         link = self.links.get(endpoint.key)  # type: ignore[call-overload]
@@ -110,7 +110,7 @@
                 del self.links[link.address]
                 continue
             link.idle_probe_ms = pause_ms
-            self.runtime.contain("tick", link.tick, now_ms)
+            self.runtime.run_guarded("tick", link.tick, now_ms)
         self._count = 1 + sum(1 for _ in self.alive())
 
     def excuse(self, pause_ms: float) -> None:
@@ -129,7 +129,11 @@
 
     def on_link_up(self, link: PeerLink, hello: Hello) -> None:
         """Log that a node answers."""
-        events.log(events.PEER_REACHED, peer=link.address[0], version=hello.version)
+        events.log(
+            events.PEER_REACHED,
+            peer=link.address[0],
+            version=hello.configuration_version,
+        )
         self.on_news()
 
     def on_link_down(self, link: PeerLink, cause: str) -> None:
@@ -156,10 +160,10 @@
         own.incarnation = backend.incarnation
         own.open = inbound.open
         own.slots = backend.slots
-        own.failing = inbound.health.failing
-        own.busy = inbound.admission.busy
+        own.failure_ratio = inbound.health.failure_ratio
+        own.in_flight = inbound.admission.in_flight
         own.mine_told = own.mine
-        own.cold_until_ms = self.runtime.now_ms() + backend.cold_ms(
+        own.cold_until_ms = self.runtime.now_ms() + backend.cold_remaining_ms(
             self.runtime.now_ms()
         )
         return own
--- a/azurestep/mesh/links/remote_receiver.py
+++ b/azurestep/mesh/links/remote_receiver.py
@@ -50,6 +50,6 @@
         """Let the sender send more of the body."""
         self.server.send(Kind.CREDIT, self.stream, size)
 
-    def on_ready(self) -> None:
+    def on_slot_ready(self) -> None:
         """Ask the sender whether the request still stands."""
-        self.server.send(Kind.READY, self.stream)
+        self.server.send(Kind.SLOT_READY, self.stream)
--- a/azurestep/mesh/links/server.py
+++ b/azurestep/mesh/links/server.py
@@ -15,10 +15,10 @@
 from ..link_messages import (
     Body,
     Cancel,
-    ConfigurationWanted,
+    ConfigurationQuery,
     Credit,
-    Go,
     Ping,
+    Proceed,
     Withdraw,
 )
 from ..messages import (
@@ -137,12 +137,12 @@
     return (
         state.service,
         state.instance_id,
-        state.born_ms,
+        state.server_started_ms,
         state.open,
         state.slots,
-        state.store_ok,
+        state.store_reachable,
         state.stopping,
-        state.failing >= FAILING_NEWS,
+        state.failure_ratio >= FAILING_NEWS,
     )
 
 
@@ -181,7 +181,7 @@
             run.cancel()
         except Exception as error:
             name = run.request.request_id
-            self.listener.runtime.fault("link_in", error, id=name)
+            self.listener.runtime.report_fault("link_in", error, id=name)
 
     def data_received(self, data: bytes) -> None:
         """Take messages."""
@@ -205,12 +205,12 @@
         run = self._runs.pop(stream, None)
         request = message if run is None else run.request
         name = request.request_id if isinstance(request, Request) else b""
-        runtime.fault("link_in", error, id=name)
+        runtime.report_fault("link_in", error, id=name)
         if run is not None:
-            runtime.contain("run", run.cancel)
+            runtime.run_guarded("run", run.cancel)
         if stream != WHOLE_LINK:
-            busy = self.listener.inbound.admission.busy
-            self.send(Kind.FAILURE, stream, int(Reason.FAULT), busy)
+            in_flight = self.listener.inbound.admission.in_flight
+            self.send(Kind.FAILURE, stream, int(Reason.FAULT), in_flight)
 
     def send(self, kind: Kind, *fields: object) -> None:
         """Send a message."""
@@ -247,7 +247,7 @@
         if late_ms > STALE_MS:
             request = attrs.evolve(
                 request,
-                budget_ms=request.budget_ms - late_ms,
+                remaining_ms=request.remaining_ms - late_ms,
                 objective_ms=request.objective_ms - late_ms,
             )
         receiver = RemoteReceiver(self, stream)
@@ -263,11 +263,11 @@
         self.peer = hello
         self.listener.on_peer(hello)
 
-    def _tell_configuration(self, _: int, wanted: ConfigurationWanted) -> None:
+    def _tell_configuration(self, _: int, wanted: ConfigurationQuery) -> None:
         version, content = self.listener.configuration()
         self.send(Kind.CONFIGURATION, version, compress(content))
 
-    def _go(self, stream: int, _: Go) -> None:
+    def _go(self, stream: int, _: Proceed) -> None:
         run = self._runs.get(stream)
         if run is not None:
             run.go()
@@ -309,10 +309,10 @@
     Body: PeerServer._body,
     Cancel: PeerServer._cancel,
     Withdraw: PeerServer._withdraw,
-    Go: PeerServer._go,
+    Proceed: PeerServer._go,
     Credit: PeerServer._grant,
     Hello: PeerServer._greet,
-    ConfigurationWanted: PeerServer._tell_configuration,
+    ConfigurationQuery: PeerServer._tell_configuration,
 }
 """What is done with a message, by its type: a table costs less than ``singledispatch``,
 and each request passes here several times."""
--- a/azurestep/mesh/messages.py
+++ b/azurestep/mesh/messages.py
@@ -11,10 +11,10 @@
 import attrs
 import msgpack
 
-from .incarnation import BIRTH_UNKNOWN, Incarnation
+from .incarnation import START_UNKNOWN, Incarnation
 
 Headers = list[tuple[bytes, bytes]]
-FORMAT = 2
+PROTOCOL_VERSION = 2
 BUFFER_BYTES = 96 * 1024 * 1024
 """Longest message that is taken."""
 COMPRESSION_LEVEL = 1
@@ -37,9 +37,9 @@
     FAILURE = 11
     CREDIT = 12
     CONFIGURATION = 13
-    CONFIGURATION_WANTED = 14
-    READY = 15
-    GO = 16
+    CONFIGURATION_QUERY = 14
+    SLOT_READY = 15
+    PROCEED = 16
     CRASHES = 17
     WITHDRAW = 18
 
@@ -80,7 +80,7 @@
         Where the sender takes links.
     started_ms : int
         Start of the sender's process; a later one is another incarnation.
-    version : int
+    configuration_version : int
         Configuration that the sender holds; 0 for none.
     """
 
@@ -88,7 +88,7 @@
     peer_address: tuple[str, int]
     data_centre: str
     started_ms: int
-    version: int
+    configuration_version: int
 
 
 @attrs.frozen(slots=True)
@@ -99,17 +99,17 @@
     ----------
     open : bool
         Whether the backend server takes new requests.
-    busy : int
+    in_flight : int
         Requests that run or wait there.
-    born_ms : int
+    server_started_ms : int
         Start of the backend server, which may have the id of an earlier one.
-    cold_ms : float
+    cold_remaining_ms : float
         How much longer the backend server is slow.
-    version : int
+    configuration_version : int
         Configuration that the node holds.
-    store_ok : bool
+    store_reachable : bool
         Whether its last call to the platform's store was answered.
-    failing : float
+    failure_ratio : float
         Share of the backend server's runs that failed of late.
     callers, refusals : tuple
         What ``pressure.Report`` holds.
@@ -117,15 +117,15 @@
 
     service: str
     instance_id: bytes
-    born_ms: int
+    server_started_ms: int
     open: bool
     slots: int
-    busy: int
-    cold_ms: float
-    version: int
-    store_ok: bool
+    in_flight: int
+    cold_remaining_ms: float
+    configuration_version: int
+    store_reachable: bool
     stopping: bool
-    failing: float
+    failure_ratio: float
     callers: tuple[tuple[str, int], ...] = ()
     refusals: tuple[tuple[str, int, float], ...] = ()
 
@@ -138,7 +138,7 @@
     ----------
     sent_ms : float
         The sender's clock when it sent the request.
-    budget_ms : float
+    remaining_ms : float
         Time left to the caller's deadline and the route's timeout.
     objective_ms : float
         Time left until the answer loses value; it may be negative.
@@ -146,12 +146,12 @@
         Whether the body is complete with this message.
     length : int
         Length of the body; -1 if it is not known yet.
-    born_ms : int
+    server_started_ms : int
         Start of the backend server that is meant.
-    usual_ms : float
+    mean_run_ms : float
         Mean run time of the route at all backend servers that the sender knows; 0 if
         it knows none.
-    held : bool
+    needs_confirmation : bool
         Whether the receiver asks again, once there is a slot, before it sends the
         request on. Until it was told to, the sender knows that it has not run.
     """
@@ -166,20 +166,20 @@
     calling_service: bytes
     idempotent: bool
     priority: int
-    budget_ms: float
+    remaining_ms: float
     objective_ms: float
     sent_ms: float
     length: int
     whole: bool
     body: bytes
-    born_ms: int = BIRTH_UNKNOWN
-    usual_ms: float = 0.0
-    held: bool = False
+    server_started_ms: int = START_UNKNOWN
+    mean_run_ms: float = 0.0
+    needs_confirmation: bool = False
 
     @property
     def incarnation(self) -> Incarnation:
         """Backend server that is meant."""
-        return Incarnation(self.instance_id, self.born_ms)
+        return Incarnation(self.instance_id, self.server_started_ms)
 
 
 @attrs.frozen(slots=True)
@@ -190,9 +190,9 @@
     ----------
     length : int
         Length of the body; -1 if it ends with ``whole`` only.
-    busy : int
+    in_flight : int
         Requests that run or wait at the backend server now.
-    run_ms : float
+    mean_run_ms : float
         Mean time that the backend server takes for this route.
     waited_ms, ran_ms : float
         Time that this request waited beside the backend server, and ran there.
@@ -204,8 +204,8 @@
     length: int
     whole: bool
     body: bytes
-    busy: int
-    run_ms: float
+    in_flight: int
+    mean_run_ms: float
     waited_ms: float = 0.0
     ran_ms: float = 0.0
 
@@ -215,9 +215,9 @@
     """The request has not run and will not run."""
 
     reason: int
-    busy: int
-    retry_ms: float
-    arrived: bool = False
+    in_flight: int
+    retry_after_ms: float
+    reached_backend: bool = False
 
 
 @attrs.frozen(slots=True)
@@ -225,7 +225,7 @@
     """The request may have run, and no whole answer comes."""
 
     reason: int
-    busy: int
+    in_flight: int
 
 
 def encode(kind: Kind, *fields: object) -> bytes:
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -32,10 +32,10 @@
 from .knowledge.following import Follower
 from .links.members import Members
 from .links.server import PeerListener, PeerServer
-from .messages import FORMAT, Hello, State
+from .messages import PROTOCOL_VERSION, Hello, State
 from .runtime import Runtime
 from .settings import Address, MeshSettings, read_settings
-from .stopping import OrderlyStop
+from .stopping import GracefulShutdown
 
 TICK_S = 0.1
 """How often links, queues and connections are looked after."""
@@ -81,12 +81,12 @@
     listener: PeerListener = attrs.field(init=False)
     prober: Prober = attrs.field(init=False)
     callers: ServerState = attrs.field(init=False)
-    orderly_stop: OrderlyStop = attrs.field(init=False)
+    shutdown: GracefulShutdown = attrs.field(init=False)
     started_ms: float = 0.0
     listening: asyncio.Event = attrs.field(factory=asyncio.Event)
     _servers: list[asyncio.Server] = attrs.field(factory=list)
     _stopped: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _state_due: bool = False
+    _broadcast_due: bool = False
     _ticks: int = 0
     _ticked_ms: float = 0.0
     _settings_seen: bytes = b""
@@ -97,13 +97,13 @@
         self.started_ms = runtime.now_ms()
         self.backend = Backend(bounds.drain_ms)
         self.crashes = CrashWatch(
-            settings.peer_address[0], self._tell_crashes, self._count_servers
+            settings.peer_address[0], self._report_crashes, self._count_servers
         )
         self.inbound = Inbound(
             runtime,
             settings.backend_address,
             self.backend,
-            self.tell_state,
+            self.schedule_state_broadcast,
             self.crashes,
         )
         self.members = Members(
@@ -117,7 +117,11 @@
         )
         self.configuration = Configuration(self._on_version, random=runtime.random)
         self.follower = Follower(
-            runtime, self._client(), self.configuration, self.members, self.tell_state
+            runtime,
+            self._client(),
+            self.configuration,
+            self.members,
+            self.schedule_state_broadcast,
         )
         self.discovery = Discovery(
             runtime, self._client(), self.members, epoch=time.time_ns() // 1_000_000
@@ -149,9 +153,9 @@
             restarted=not settings.first_start,
         )
         self.callers = ServerState(
-            self.outbound.handle, runtime.fault_of("caller"), answer_failed
+            self.outbound.handle, runtime.fault_handler("caller"), answer_failed
         )
-        self.orderly_stop = OrderlyStop(
+        self.shutdown = GracefulShutdown(
             runtime,
             settings.instance,
             self.callers,
@@ -207,15 +211,15 @@
         while not self._stopped.is_set():
             self._tick(states)
             await asyncio.sleep(TICK_S)
-        self.orderly_stop.finish()
+        self.shutdown.finish()
         events.WRITER.flush()
 
     def stop(self) -> None:
         """Begin an orderly stop: finish what is under way, take nothing new."""
-        if not self.orderly_stop.begin(self.settings.bounds.grace_ms):
+        if not self.shutdown.begin(self.settings.bounds.grace_ms):
             return
         self.runtime.spawn(self.discovery.leave())
-        self.tell_state()
+        self.schedule_state_broadcast()
 
     def abort(self) -> None:
         """Close all sockets at once, as a crash does."""
@@ -251,7 +255,7 @@
     @property
     def is_stopping(self) -> bool:
         """Whether an orderly stop has begun."""
-        return self.orderly_stop.plan is not None
+        return self.shutdown.plan is not None
 
     def is_ready(self) -> bool:
         """Whether callers should send requests here."""
@@ -264,7 +268,7 @@
     def hello(self) -> Hello:
         """Return this node's greeting."""
         return Hello(
-            FORMAT,
+            PROTOCOL_VERSION,
             self.settings.peer_address,
             self.settings.data_centre,
             int(self.started_ms),
@@ -277,30 +281,30 @@
         return State(
             backend.service,
             backend.incarnation.instance_id,
-            backend.incarnation.born_ms,
+            backend.incarnation.started_ms,
             self.inbound.open,
             backend.slots,
-            self.inbound.admission.busy,
-            backend.cold_ms(self.runtime.now_ms()),
+            self.inbound.admission.in_flight,
+            backend.cold_remaining_ms(self.runtime.now_ms()),
             self.configuration.version,
-            self.follower.store_ok,
+            self.follower.store_reachable,
             self.is_stopping,
-            self.inbound.health.failing,
+            self.inbound.health.failure_ratio,
             self.inbound.callers.callers(),
             self.calls.refusals.report(),
         )
 
-    def tell_state(self) -> None:
+    def schedule_state_broadcast(self) -> None:
         """Tell all nodes this one's state, once for all changes of a moment."""
-        if not self._state_due:
-            self._state_due = True
+        if not self._broadcast_due:
+            self._broadcast_due = True
             self.runtime.loop.call_soon(self._broadcast)
 
     def _broadcast(self) -> None:
-        self._state_due = False
+        self._broadcast_due = False
         self.listener.broadcast_state()
 
-    def _tell_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
+    def _report_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
         events.log(
             events.CRASH_SUSPECTED,
             service=service,
@@ -325,7 +329,7 @@
 
     def _on_version(self, table: RoutingTable) -> None:
         self.callers.limits = table.limits
-        self.tell_state()
+        self.schedule_state_broadcast()
         if self.configuration.version_read == table.version:
             self.listener.push_configuration()
         self.prober.check()
@@ -349,7 +353,7 @@
         await self._bind(address, lambda: ServerConnection(state))
 
     async def _listen_small(self, address: Address, handler: Handler) -> ServerState:
-        state = ServerState(handler, self.runtime.fault_of("endpoint"))
+        state = ServerState(handler, self.runtime.fault_handler("endpoint"))
         await self._listen(address, state)
         return state
 
@@ -374,31 +378,31 @@
         pause_ms = now_ms - self._ticked_ms - TICK_S * 1000
         self._ticked_ms = now_ms
         if pause_ms > OWN_PAUSE_MS:
-            events.log(events.PAUSED, pause_ms=round(pause_ms))
+            events.log(events.LOOP_STALLED, pause_ms=round(pause_ms))
         if pause_ms > EXCUSED_PAUSE_MS:
-            self.runtime.contain("tick", self.members.excuse, pause_ms)
-        contain = partial(self.runtime.contain, "tick")
-        contain(self.members.tick, now_ms)
-        contain(self.inbound.tick)
-        contain(self.prober.check)
-        contain(self.calls.refusals.tick)
-        contain(self._update_pressure)
-        contain(self.follower.tick, now_ms)
+            self.runtime.run_guarded("tick", self.members.excuse, pause_ms)
+        run_guarded = partial(self.runtime.run_guarded, "tick")
+        run_guarded(self.members.tick, now_ms)
+        run_guarded(self.inbound.tick)
+        run_guarded(self.prober.check)
+        run_guarded(self.calls.refusals.tick)
+        run_guarded(self._update_pressure)
+        run_guarded(self.follower.tick, now_ms)
         self._ticks += 1
         if self._ticks % STATE_TICKS == 0:
-            contain(self.tell_state)
+            run_guarded(self.schedule_state_broadcast)
         if self._ticks % FORGET_TICKS == 0:
-            contain(self.calls.returning.forget, now_ms)
+            run_guarded(self.calls.returning.forget, now_ms)
         if self._ticks % 5 == 0:
             for state in states:
-                contain(state.sweep, now_s)
+                run_guarded(state.sweep, now_s)
         if self._ticks % SETTINGS_CHECK_TICKS == 0:
-            contain(self._check_settings)
-        contain(self._check_stop, now_ms)
-        contain(events.WRITER.flush)
+            run_guarded(self._check_settings)
+        run_guarded(self._check_stop, now_ms)
+        run_guarded(events.WRITER.flush)
 
     def _check_stop(self, now_ms: float) -> None:
-        if self.orderly_stop.is_over(now_ms):
+        if self.shutdown.advance(now_ms):
             self._stopped.set()
 
     def _update_pressure(self) -> None:
@@ -427,8 +431,8 @@
         gauges["members"] = self.members.count()
         gauges["configuration_version"] = self.configuration.version
         gauges["backend_running"] = len(self.inbound.admission.running)
-        gauges["backend_busy"] = self.inbound.admission.busy
-        gauges["store_reachable"] = float(self.follower.store_ok)
+        gauges["backend_busy"] = self.inbound.admission.in_flight
+        gauges["store_reachable"] = float(self.follower.store_reachable)
 
 
 def serve(path: pathlib.Path) -> None:
--- a/azurestep/mesh/runtime.py
+++ b/azurestep/mesh/runtime.py
@@ -15,7 +15,7 @@
 
 TRACEBACK_CALLS = 8
 """Innermost calls that a line shows."""
-TRACEBACKS_MOST = 20
+MAX_TRACEBACKS = 20
 """Lines of each place that show one: a part of the tick that fails each time writes ten
 a second. Counts and causes go on."""
 CAUSE_CHARACTERS = 500
@@ -34,12 +34,12 @@
         """Return a monotonic time that also counts suspended time."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
-    def soon(self, act: Callable[[], None]) -> None:
+    def call_soon(self, act: Callable[[], None]) -> None:
         """Call a function once what is being handled now has ended.
 
         Its error is its own: it reaches nothing that happens to be on the stack.
         """
-        self.loop.call_soon(self.contain, "soon", act)
+        self.loop.call_soon(self.run_guarded, "soon", act)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine beside the others."""
@@ -51,9 +51,9 @@
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
-            self.fault("task", error, events.TASK_FAILED)
+            self.report_fault("task", error, events.TASK_FAILED)
 
-    def fault(
+    def report_fault(
         self,
         place: str,
         error: BaseException,
@@ -62,28 +62,28 @@
     ) -> None:
         """Log and count a fault of this program that was caught at a place."""
         self.metrics.count("faults", place)
-        if self.metrics.counters["faults", place] <= TRACEBACKS_MOST:
+        if self.metrics.counters["faults", place] <= MAX_TRACEBACKS:
             fields["traceback"] = "".join(
                 traceback.format_exception(error, limit=-TRACEBACK_CALLS, chain=False)
             )
         cause = repr(error)[:CAUSE_CHARACTERS]
         events.log(event, place=place, cause=cause, **fields)
 
-    def contain(
+    def run_guarded(
         self, place: str, work: Callable[..., object], *arguments: object
     ) -> None:
         """Do a piece of work whose fault must not keep others from being done."""
         try:
             work(*arguments)
         except Exception as error:
-            self.fault(place, error)
+            self.report_fault(place, error)
 
-    def fault_of(self, place: str) -> Callable[[BaseException, bool], None]:
+    def fault_handler(self, place: str) -> Callable[[BaseException, bool], None]:
         """Return what takes the faults of callers' connections at a place."""
 
         def take(error: BaseException, contained: bool) -> None:
             event = events.FAULT if contained else events.HANDLER_FAILED
-            self.fault(place, error, event)
+            self.report_fault(place, error, event)
 
         return take
 
@@ -95,7 +95,7 @@
         if error is None or isinstance(error, OSError):
             loop.default_exception_handler(context)
         else:
-            self.fault("loop", error, what=context.get("message", ""))
+            self.report_fault("loop", error, what=context.get("message", ""))
 
     def cancel_all(self) -> None:
         """Cancel all coroutines."""
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(eq=False)
-class OrderlyStop:
+class GracefulShutdown:
     """Takes a node from SIGTERM to its end.
 
     Attributes
@@ -48,7 +48,7 @@
         self._log(events.STOPPING)
         return True
 
-    def is_over(self, now_ms: float) -> bool:
+    def advance(self, now_ms: float) -> bool:
         """Take the next step; return whether the node may end."""
         plan = self.plan
         if plan is None or now_ms < plan.refuses_from_ms:
@@ -62,7 +62,7 @@
         if busy and now_ms < plan.ends_ms:
             return False
         for connection in list(self.callers.connections):
-            self.runtime.contain("stop", connection.close_if_idle)
+            self.runtime.run_guarded("stop", connection.close_if_idle)
         # What comes in the last moments goes elsewhere; taken, it was cut by the end.
         self.inbound.stop(now_ms)
         return True
@@ -80,5 +80,5 @@
             node=self.instance,
             calls=len(self.outbound.context.under_way),
             runs=len(admission.running),
-            waiting=admission.busy - len(admission.running),
+            waiting=admission.in_flight - len(admission.running),
         )
--- a/azurestep/platform/announcement.py
+++ b/azurestep/platform/announcement.py
@@ -36,9 +36,9 @@
         Grows with each heartbeat of one start, so a late one can be told.
     leaving : bool
         Whether the backend server takes no new work soon.
-    cold_ms : float
+    cold_remaining_ms : float
         How much longer it stays slow after its start.
-    born_ms : int or None
+    started_ms : int or None
         Its start in Unix milliseconds. The same id with a later start is another
         incarnation; None where the backend server doesn't tell it.
     """
@@ -48,16 +48,16 @@
     sequence: int
     slots: int
     leaving: bool
-    cold_ms: float
-    born_ms: int | None = None
+    cold_remaining_ms: float
+    started_ms: int | None = None
 
 
 @attrs.frozen(slots=True)
-class Leaving:
+class LeavingNotice:
     """A backend server's notice that it ends, without a heartbeat before."""
 
     instance_id: str
-    born_ms: int | None = None
+    started_ms: int | None = None
 
 
 class _ReportedState(enum.StrEnum):
@@ -97,7 +97,7 @@
 _LEAVING = msgspec.json.Decoder(_LeavingBody)
 
 
-def read_announcement(target: str, body: bytes) -> Heartbeat | Leaving:
+def read_announcement(target: str, body: bytes) -> Heartbeat | LeavingNotice:
     """Return what a call of a backend server says.
 
     Raises
@@ -123,10 +123,10 @@
         ) from error
 
 
-def _leaving(instance_id: str, body: bytes) -> Leaving:
+def _leaving(instance_id: str, body: bytes) -> LeavingNotice:
     if not body.strip():
-        return Leaving(instance_id)
-    return Leaving(instance_id, _known(_LEAVING.decode(body).born))
+        return LeavingNotice(instance_id)
+    return LeavingNotice(instance_id, _known(_LEAVING.decode(body).born))
 
 
 def _heartbeat(instance_id: str, body: bytes) -> Heartbeat:
@@ -137,8 +137,8 @@
         sequence=fields.status.sequence,
         slots=fields.information.slots,
         leaving=fields.status.state is _ReportedState.DRAINING,
-        cold_ms=parse_duration_ms(fields.status.cold_remaining),
-        born_ms=_known(fields.born),
+        cold_remaining_ms=parse_duration_ms(fields.status.cold_remaining),
+        started_ms=_known(fields.born),
     )
 
 
--- a/azurestep/platform/document.py
+++ b/azurestep/platform/document.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..errors import ConfigurationError
-from ..routing.model import Document, Limits, Part, Route, Service
+from ..routing.model import Document, Limits, Route, Service, WeightedService
 from .units import DURATION_PATTERN, parse_duration_ms
 
 IDEMPOTENT_KINDS = frozenset({"safe", "download"})
@@ -123,9 +123,11 @@
     )
 
 
-def _parts(name: str, fields: _Route) -> tuple[Part, ...]:
+def _parts(name: str, fields: _Route) -> tuple[WeightedService, ...]:
     if fields.traffic_split:
-        return tuple(Part(part.service, part.weight) for part in fields.traffic_split)
+        return tuple(
+            WeightedService(part.service, part.weight) for part in fields.traffic_split
+        )
     if fields.service is None:
         raise _refusal(f"route {name!r} has neither a service nor a split")
     return _only_part(fields.service)
@@ -142,9 +144,9 @@
 
 
 @functools.lru_cache(maxsize=SERVICES_KEPT)
-def _only_part(service: str) -> tuple[Part, ...]:
+def _only_part(service: str) -> tuple[WeightedService, ...]:
     """Return the parts of a route without a split, shared by all such routes."""
-    return (Part(service, 1.0),)
+    return (WeightedService(service, 1.0),)
 
 
 def _limits(fields: _Limits) -> Limits:
--- a/azurestep/platform/headers.py
+++ b/azurestep/platform/headers.py
@@ -42,7 +42,7 @@
     ----------
     request_id : bytes
         Identity of this attempt of the caller; empty if missing.
-    budget_ms : float or None
+    remaining_ms : float or None
         How long the caller will wait, from the arrival of the request.
     forwarded : Headers
         Headers for the backend server, without those of one connection and
@@ -51,7 +51,7 @@
 
     host: bytes
     request_id: bytes
-    budget_ms: float | None
+    remaining_ms: float | None
     forwarded: Headers
 
 
@@ -92,14 +92,14 @@
     forwarded: Headers
 
 
-def parse_budget_ms(value: bytes) -> float | None:
+def parse_remaining_ms(value: bytes) -> float | None:
     """Return a deadline header's milliseconds; None if it is no such number.
 
     Examples
     --------
-    >>> parse_budget_ms(b"1500")
+    >>> parse_remaining_ms(b"1500")
     1500.0
-    >>> parse_budget_ms(b"-3") is None
+    >>> parse_remaining_ms(b"-3") is None
     True
     """
     text = value.strip()
@@ -120,21 +120,21 @@
     """Read a caller's headers."""
     dropped = _named_by_connection(headers)
     host = request_id = b""
-    budget_ms = None
+    remaining_ms = None
     forwarded = []
     for name, value in headers:
         lower = name.lower()
         if lower == REQUEST_ID:
             request_id = value
         elif lower == DEADLINE:
-            budget_ms = parse_budget_ms(value)
+            remaining_ms = parse_remaining_ms(value)
             continue
         elif lower == b"host":
             host = value
         elif lower in ONE_CONNECTION or lower in SET_BY_US or lower in dropped:
             continue
         forwarded.append((name, value))
-    return CallerFields(host.lower(), request_id, budget_ms, forwarded)
+    return CallerFields(host.lower(), request_id, remaining_ms, forwarded)
 
 
 def _keep_alive_ms(value: bytes) -> float | None:
@@ -181,11 +181,11 @@
 
 
 def to_backend(
-    forwarded: Headers, budget_ms: float, instance_id: bytes, calling_service: bytes
+    forwarded: Headers, remaining_ms: float, instance_id: bytes, calling_service: bytes
 ) -> list[bytes]:
     """Return the header lines of a request for a backend server."""
     lines = [b"%b: %b\r\n" % field for field in forwarded]
-    lines.append(b"Deadline-Milliseconds: %d\r\n" % max(1, int(budget_ms)))
+    lines.append(b"Deadline-Milliseconds: %d\r\n" % max(1, int(remaining_ms)))
     lines.append(b"Expected-Instance: %b\r\n" % instance_id)
     lines.append(b"Calling-Service: %b\r\n" % calling_service)
     return lines
--- a/azurestep/platform/outcomes.py
+++ b/azurestep/platform/outcomes.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen(slots=True)
-class Newest:
+class LatestRecords:
     """The newest record of each key, and where to read on.
 
     Attributes
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen(slots=True)
-class Forgotten:
+class Truncated:
     """The records asked for are deleted; the log begins at this offset."""
 
     first_offset: int
--- a/azurestep/platform/store.py
+++ b/azurestep/platform/store.py
@@ -22,13 +22,13 @@
     Conflict,
     Failed,
     Fenced,
-    Forgotten,
     KeyedRecord,
-    Newest,
+    LatestRecords,
     OutOfSequence,
     Producer,
     Records,
     Refused,
+    Truncated,
     Unanswered,
 )
 
@@ -178,7 +178,7 @@
 
     async def read(
         self, topic: str, from_offset: int, wait_ms: int
-    ) -> Records | Forgotten | Failed:
+    ) -> Records | Truncated | Failed:
         """Read the records from an offset on, waiting for one to come."""
         path = f"/v1/log-read?topic={quote(topic)}&part=0&from={from_offset}"
         if wait_ms:
@@ -193,12 +193,12 @@
             gone = self._decoded(content, _ForgottenAnswer)
             if isinstance(gone, Unanswered):
                 return gone
-            return Forgotten(gone.first_offset)
+            return Truncated(gone.first_offset)
         if status != OK:
             return Refused(status)
         return _split_records(content, from_offset)
 
-    async def newest(self, topic: str) -> Newest | Failed:
+    async def read_latest(self, topic: str) -> LatestRecords | Failed:
         """Return the newest record of each key of a keyed topic."""
         items: list[KeyedRecord] = []
         unreadable = 0
@@ -220,7 +220,7 @@
             items += readable
             unreadable += len(page.items) - len(readable)
             if not page.has_more or not readable:
-                return Newest(items, page.end_offset, unreadable)
+                return LatestRecords(items, page.end_offset, unreadable)
             after = readable[-1].key
 
     def close(self) -> None:
@@ -319,14 +319,14 @@
     value: bytes
 
 
-def split_keyed(record: bytes) -> KeyValue | None:
+def parse_keyed_record(record: bytes) -> KeyValue | None:
     r"""Return key and value of a record of a keyed topic; None if it is damaged.
 
     Examples
     --------
-    >>> split_keyed(b"\x02abvalue")
+    >>> parse_keyed_record(b"\x02abvalue")
     KeyValue(key='ab', value=b'value')
-    >>> split_keyed(b"\x09ab") is None
+    >>> parse_keyed_record(b"\x09ab") is None
     True
     """
     if not record or len(record) <= record[0]:
--- a/azurestep/quarantine/__init__.py
+++ b/azurestep/quarantine/__init__.py
@@ -5,13 +5,13 @@
 """
 
 from .fingerprints import BODY_PREFIX_BYTES, fingerprint
-from .suspects import QuarantineUpdate, Standing
+from .suspects import QuarantineStatus, QuarantineUpdate
 from .table import Quarantine
 
 __all__ = [
     "BODY_PREFIX_BYTES",
     "Quarantine",
     "QuarantineUpdate",
-    "Standing",
+    "QuarantineStatus",
     "fingerprint",
 ]
--- a/azurestep/quarantine/suspects.py
+++ b/azurestep/quarantine/suspects.py
@@ -7,7 +7,7 @@
 from ..endpoint_key import EndpointKey
 
 
-class Standing(StrEnum):
+class QuarantineStatus(StrEnum):
     """How a fingerprint is treated."""
 
     CLEAR = "clear"
--- a/azurestep/quarantine/table.py
+++ b/azurestep/quarantine/table.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 
 from ..endpoint_key import EndpointKey
-from .suspects import QuarantineUpdate, Standing, Suspect
+from .suspects import QuarantineStatus, QuarantineUpdate, Suspect
 
 DEATHS_TO_REFUSE = 2
 TABLE_SIZE = 1024
@@ -60,18 +60,18 @@
         """Whether any fingerprint is on record; if not, none need be computed."""
         return bool(self._suspects)
 
-    def standing(self, fingerprint: int, now_ms: float) -> Standing:
+    def status_of(self, fingerprint: int, now_ms: float) -> QuarantineStatus:
         """Return how a request is to be treated."""
         suspect = self._find(fingerprint, now_ms)
         if suspect is None:
-            return Standing.CLEAR
+            return QuarantineStatus.CLEAR
         if suspect.refused_until_ms > now_ms:
-            return Standing.REFUSED
+            return QuarantineStatus.REFUSED
         if len(suspect.deaths) > suspect.survivals or suspect.pending:
-            return Standing.SUSPECT
-        return Standing.CLEAR
+            return QuarantineStatus.SUSPECT
+        return QuarantineStatus.CLEAR
 
-    def occupied(self, now_ms: float) -> tuple[EndpointKey, ...]:
+    def servers_with_suspects(self, now_ms: float) -> tuple[EndpointKey, ...]:
         """Return the servers that run a suspect, which another must avoid.
 
         Two suspects on one server would share the blame for its death.
@@ -83,13 +83,13 @@
             if count > 0
         )
 
-    def started(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
+    def record_start(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
         """Note that an attempt is sent; cheap when it is no suspect."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.running[key] = suspect.running.get(key, 0) + 1
 
-    def answered(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
+    def record_answer(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
         """Note that an attempt brought an answer: the server survived it."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
@@ -99,13 +99,13 @@
         if suspect.survivals >= len(suspect.deaths) and not suspect.pending:
             self._drop(fingerprint)
 
-    def ended(self, fingerprint: int, key: EndpointKey) -> None:
+    def record_end(self, fingerprint: int, key: EndpointKey) -> None:
         """Note that an attempt ended in a way that says nothing."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             self._stop(suspect, key)
 
-    def lost(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
+    def record_loss(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
         """Note a connection lost before the first byte of the answer."""
         suspect = self._record(fingerprint, now_ms)
         self._stop(suspect, key)
@@ -114,7 +114,7 @@
             return
         suspect.pending[key] = now_ms
 
-    def server_died(
+    def record_death(
         self, key: EndpointKey, now_ms: float, servers: int
     ) -> list[QuarantineUpdate]:
         """Note that a backend server is dead for certain.
@@ -145,7 +145,7 @@
             news.append(self._update(fingerprint, suspect, now_ms))
         return news
 
-    def server_alive(self, key: EndpointKey) -> None:
+    def record_alive(self, key: EndpointKey) -> None:
         """Note that a lost connection didn't mean a death."""
         for fingerprint, suspect in list(self._suspects.items()):
             suspect.pending.pop(key, None)
@@ -160,7 +160,7 @@
             if suspect.deaths
         ]
 
-    def learn(
+    def merge(
         self,
         updates: Iterable[QuarantineUpdate],
         now_ms: float,
--- a/azurestep/routing/model.py
+++ b/azurestep/routing/model.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen(slots=True)
-class Part:
+class WeightedService:
     """A share of a route's requests that goes to one service."""
 
     service: str
@@ -37,7 +37,7 @@
     objective_ms: float
     priority: int
     max_attempts: int
-    parts: tuple[Part, ...]
+    parts: tuple[WeightedService, ...]
 
 
 @attrs.frozen(slots=True)
--- a/azurestep/routing/table.py
+++ b/azurestep/routing/table.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from .model import Document, Limits, Part, Route, Service
+from .model import Document, Limits, Route, Service, WeightedService
 
 SKIPPED_MOST = 1000
 """Requests of a split that are skipped at most before its first one: ten times round
@@ -12,24 +12,28 @@
 
 
 @attrs.define(slots=True)
-class Split:
+class WeightedRoundRobin:
     """Deals requests to the parts of a route by smooth weighted round robin.
 
     Examples
     --------
-    >>> split = Split((Part("a", 3), Part("b", 1)))
-    >>> [split.take() for _ in range(4)]
+    >>> split = WeightedRoundRobin(
+    ...     (WeightedService("a", 3), WeightedService("b", 1))
+    ... )
+    >>> [split.next_service() for _ in range(4)]
     ['a', 'a', 'b', 'a']
     """
 
-    parts: tuple[Part, ...]
+    parts: tuple[WeightedService, ...]
     _credit: list[float] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         self._credit = [0.0] * len(self.parts)
 
     @classmethod
-    def started_anywhere(cls, parts: tuple[Part, ...], random: Random) -> "Split":
+    def with_random_start(
+        cls, parts: tuple[WeightedService, ...], random: Random
+    ) -> "WeightedRoundRobin":
         """Return a split that begins at a random place of its round.
 
         With a few requests at each node the shares of all nodes then add up to the
@@ -38,10 +42,10 @@
         """
         split = cls(parts)
         for _ in range(random.randrange(SKIPPED_MOST)):
-            split.take()
+            split.next_service()
         return split
 
-    def take(self) -> str:
+    def next_service(self) -> str:
         """Return the service of the next request."""
         total = 0.0
         best = 0
@@ -66,7 +70,7 @@
 
     document: Document
     random: Random
-    splits: dict[str, Split] = attrs.field(factory=dict)
+    splits: dict[str, WeightedRoundRobin] = attrs.field(factory=dict)
     _by_place: dict[tuple[bytes, bytes], Route] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -100,17 +104,17 @@
             end = path.rfind(b"/", 0, end)
         return None
 
-    def service_of(self, route: Route) -> str:
+    def choose_service(self, route: Route) -> str:
         """Return the service of a route's next request, by the parts' weights."""
         if len(route.parts) == 1:
             return route.parts[0].service
         split = self.splits.get(route.name)
         if split is None or split.parts != route.parts:
-            split = Split.started_anywhere(route.parts, self.random)
+            split = WeightedRoundRobin.with_random_start(route.parts, self.random)
             self.splits[route.name] = split
-        return split.take()
+        return split.next_service()
 
-    def followed_by(self, document: Document) -> "RoutingTable":
+    def updated_to(self, document: Document) -> "RoutingTable":
         """Return the table of a later document, whose splits go on where they are."""
         names = {route.name for route in document.routes if len(route.parts) > 1}
         kept = {name: split for name, split in self.splits.items() if name in names}
--- a/azurestep/traffic/forward.py
+++ b/azurestep/traffic/forward.py
@@ -14,12 +14,12 @@
     Outcome,
     OutcomeKind,
     ProbeFirst,
+    QuarantineStatus,
     RefusalReason,
     Refused,
     RequestArrived,
     Resume,
     Retry,
-    Standing,
     Ticket,
     decide_retry,
 )
@@ -100,9 +100,9 @@
             pool.budget.first_request()
         if not pool.quarantine.active:
             return None
-        standing = pool.quarantine.standing(call.fingerprint, now_ms)
-        call.is_suspect = standing is Standing.SUSPECT
-        if standing is not Standing.REFUSED:
+        standing = pool.quarantine.status_of(call.fingerprint, now_ms)
+        call.is_suspect = standing is QuarantineStatus.SUSPECT
+        if standing is not QuarantineStatus.REFUSED:
             return None
         events.emit(
             events.REQUEST_QUARANTINED,
@@ -117,7 +117,7 @@
         now_ms = self._clock.monotonic_ms()
         avoid = tuple(call.tried)
         if call.is_suspect:
-            avoid += pool.quarantine.occupied(now_ms)
+            avoid += pool.quarantine.servers_with_suspects(now_ms)
         decision = await pool.acquire(
             RequestArrived(call.match.priority, now_ms, call.deadline_ms, avoid)
         )
@@ -139,14 +139,14 @@
         call.tried.append(key)
         if pool.quarantine.active:
             now_ms = self._clock.monotonic_ms()
-            pool.quarantine.started(call.fingerprint, key, now_ms)
+            pool.quarantine.record_start(call.fingerprint, key, now_ms)
         may_have_run, call.may_have_run = call.may_have_run, True
         try:
             attempt = await self._sender.send(call, endpoint, extra)
         except asyncio.CancelledError:
             now_ms = self._clock.monotonic_ms()
             pool.finish(ticket, Outcome(OutcomeKind.CANCELLED, 0.0), now_ms)
-            pool.quarantine.ended(call.fingerprint, key)
+            pool.quarantine.record_end(call.fingerprint, key)
             raise
         if attempt.kind in NOT_RUN_KINDS:
             call.may_have_run = may_have_run
--- a/azurestep/traffic/pool.py
+++ b/azurestep/traffic/pool.py
@@ -112,11 +112,11 @@
     ) -> None:
         """Find out whether a backend server died as its connection was lost."""
         key = endpoint.key
-        self.quarantine.lost(fingerprint, key, now_ms)
+        self.quarantine.record_loss(fingerprint, key, now_ms)
         if key in self._dead:
             return
         if await probe(endpoint, self._service.connect_timeout_ms):
-            self.quarantine.server_alive(key)
+            self.quarantine.record_alive(key)
         else:
             self._note_death(key, now_ms)
 
@@ -124,7 +124,7 @@
         self._dead[key] = None
         if len(self._dead) > DEATHS_REMEMBERED:
             del self._dead[next(iter(self._dead))]
-        updates = self.quarantine.server_died(key, now_ms, len(self.endpoints))
+        updates = self.quarantine.record_death(key, now_ms, len(self.endpoints))
         if updates:
             self._on_news(QuarantineNews(self._service.name, updates))
 
@@ -137,9 +137,9 @@
     ) -> None:
         """Tell the quarantine how an attempt ended."""
         if is_answered:
-            self.quarantine.answered(fingerprint, key, now_ms)
+            self.quarantine.record_answer(fingerprint, key, now_ms)
         else:
-            self.quarantine.ended(fingerprint, key)
+            self.quarantine.record_end(fingerprint, key)
 
     async def acquire(self, request: RequestArrived) -> Admitted | Refused:
         """Return a backend server for a request, waiting in the queue if needed."""
--- a/azurestep/traffic/proxy.py
+++ b/azurestep/traffic/proxy.py
@@ -149,7 +149,7 @@
         pool = self._pools.get(news.service)
         if pool is not None:
             now_ms = self._clock.monotonic_ms()
-            pool.quarantine.learn(news.updates, now_ms, len(pool.endpoints))
+            pool.quarantine.merge(news.updates, now_ms, len(pool.endpoints))
 
     def report_load(self, service: str, report: LoadReport) -> None:
         """Take a backend server's own word as a hint."""
--- a/bench/quarantine_trial.py
+++ b/bench/quarantine_trial.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from azurestep.balancing import EndpointKey, Quarantine, Standing
+from azurestep.balancing import EndpointKey, Quarantine, QuarantineStatus
 
 from .queueing_model import Timeline
 
@@ -152,12 +152,12 @@
         quarantine = self.quarantines[node]
         avoid: tuple[EndpointKey, ...] = ()
         if self.policy.deaths and quarantine.active:
-            standing = quarantine.standing(fingerprint, now_ms)
-            if standing is Standing.REFUSED:
+            standing = quarantine.status_of(fingerprint, now_ms)
+            if standing is QuarantineStatus.REFUSED:
                 self._refuse(fingerprint)
                 return
-            if standing is Standing.SUSPECT and self.policy.isolate:
-                avoid = quarantine.occupied(now_ms)
+            if standing is QuarantineStatus.SUSPECT and self.policy.isolate:
+                avoid = quarantine.servers_with_suspects(now_ms)
         alive = [s for s in self.servers if s.alive and s.key not in avoid]
         if not alive:
             self._fail(fingerprint)
@@ -181,7 +181,7 @@
     def _start(self, server: CrashingServer, run: Run) -> None:
         now_ms = self.timeline.now_ms
         server.running.append(run)
-        self.quarantines[run.node].started(run.fingerprint, server.key, now_ms)
+        self.quarantines[run.node].record_start(run.fingerprint, server.key, now_ms)
         if run.fingerprint == POISON:
             self.timeline.at(now_ms + CRASH_MS, self._crash, server, server.key)
             return
@@ -194,7 +194,7 @@
         run.done = True
         server.running.remove(run)
         now_ms = self.timeline.now_ms
-        self.quarantines[run.node].answered(run.fingerprint, key, now_ms)
+        self.quarantines[run.node].record_answer(run.fingerprint, key, now_ms)
 
     def _crash(self, server: CrashingServer, key: EndpointKey) -> None:
         if server.alive and server.key == key:
@@ -209,7 +209,7 @@
         lost, server.running = server.running, []
         for run in lost:
             run.done = True
-            self.quarantines[run.node].lost(run.fingerprint, server.key, now_ms)
+            self.quarantines[run.node].record_loss(run.fingerprint, server.key, now_ms)
             self._fail(run.fingerprint)
         self._confirm(server.key)
         self.timeline.at(now_ms + RESTART_MS, self._restart, server)
@@ -217,14 +217,14 @@
     def _confirm(self, key: EndpointKey) -> None:
         now_ms = self.timeline.now_ms
         for node, quarantine in enumerate(self.quarantines):
-            news = quarantine.server_died(key, now_ms, self.scenario.servers)
+            news = quarantine.record_death(key, now_ms, self.scenario.servers)
             if news:
                 self.timeline.at(now_ms + GOSSIP_MS, self._gossip, node, news)
 
     def _gossip(self, sender: int, news) -> None:
         for node, quarantine in enumerate(self.quarantines):
             if node != sender:
-                quarantine.learn(news, self.timeline.now_ms, self.scenario.servers)
+                quarantine.merge(news, self.timeline.now_ms, self.scenario.servers)
 
     def _restart(self, server: CrashingServer) -> None:
         server.incarnation += 1
--- a/tests/fixtures_inbound.py
+++ b/tests/fixtures_inbound.py
@@ -61,10 +61,12 @@
 
     errors: list[BaseException] = attrs.field(factory=list)
 
-    def fault(self, place: str, error: BaseException, *_: Any, **fields: Any) -> None:
+    def report_fault(
+        self, place: str, error: BaseException, *_: Any, **fields: Any
+    ) -> None:
         self.errors.append(error)
 
-    def soon(self, act: Callable[[], None]) -> None:
+    def call_soon(self, act: Callable[[], None]) -> None:
         self.loop.call_soon(act)
 
 
@@ -120,7 +122,7 @@
     def on_credit(self, size: int) -> None:
         self.react("credit")
 
-    def on_ready(self) -> None:
+    def on_slot_ready(self) -> None:
         self.asked += 1
         self.react("ready")
 
@@ -159,7 +161,7 @@
             body_bytes,
             not body_bytes,
             b"",
-            held=held,
+            needs_confirmation=held,
         )
         return self.inbound.submit(request, listener)
 
--- a/tests/test_balancing_quarantine.py
+++ b/tests/test_balancing_quarantine.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from azurestep.balancing import EndpointKey, Quarantine, Standing, fingerprint
+from azurestep.balancing import EndpointKey, Quarantine, QuarantineStatus, fingerprint
 
 POISON = fingerprint("GET", "songs", "/songs?q=%00", b"")
 INNOCENT = fingerprint("GET", "songs", "/songs?q=a", b"")
@@ -17,9 +17,9 @@
 
 def crash(quarantine, number, now_ms, fingerprints=(POISON,)):
     for one in fingerprints:
-        quarantine.started(one, server(number), now_ms)
-        quarantine.lost(one, server(number), now_ms + 1)
-    return quarantine.server_died(server(number), now_ms + 2, SERVERS)
+        quarantine.record_start(one, server(number), now_ms)
+        quarantine.record_loss(one, server(number), now_ms + 1)
+    return quarantine.record_death(server(number), now_ms + 2, SERVERS)
 
 
 @pytest.fixture
@@ -29,50 +29,50 @@
 
 def test_it_costs_nothing_until_something_happens(quarantine):
     assert not quarantine.active
-    assert quarantine.standing(POISON, 0.0) is Standing.CLEAR
+    assert quarantine.status_of(POISON, 0.0) is QuarantineStatus.CLEAR
 
 
 @pytest.mark.parametrize(("deaths", "weigh"), [(1, False), (2, True), (3, True)])
 def test_it_refuses_from_the_chosen_number_of_deaths(deaths, weigh):
     quarantine = Quarantine(deaths_to_refuse=deaths, weigh_chance=weigh)
     for number in range(deaths):
-        assert quarantine.standing(POISON, 20_000.0) is not Standing.REFUSED
+        assert quarantine.status_of(POISON, 20_000.0) is not QuarantineStatus.REFUSED
         crash(quarantine, number, 20_000.0 * (number + 1))
     now_ms = 20_000.0 * deaths + 10
-    assert quarantine.standing(POISON, now_ms) is Standing.REFUSED
+    assert quarantine.status_of(POISON, now_ms) is QuarantineStatus.REFUSED
 
 
 def test_first_death_makes_a_suspect(quarantine):
     crash(quarantine, 0, 0.0)
-    assert quarantine.standing(POISON, 10.0) is Standing.SUSPECT
+    assert quarantine.status_of(POISON, 10.0) is QuarantineStatus.SUSPECT
 
 
 def test_the_same_death_counts_once(quarantine):
     for _ in range(3):
         crash(quarantine, 0, 0.0)
-    assert quarantine.standing(POISON, 10.0) is Standing.SUSPECT
+    assert quarantine.status_of(POISON, 10.0) is QuarantineStatus.SUSPECT
 
 
 def test_a_lost_connection_alone_is_no_death(quarantine):
     for number in range(5):
-        quarantine.lost(INNOCENT, server(number), 0.0)
-        quarantine.server_alive(server(number))
-    assert quarantine.standing(INNOCENT, 1.0) is Standing.CLEAR
+        quarantine.record_loss(INNOCENT, server(number), 0.0)
+        quarantine.record_alive(server(number))
+    assert quarantine.status_of(INNOCENT, 1.0) is QuarantineStatus.CLEAR
     assert not quarantine.active
 
 
 def test_an_unproven_loss_is_forgotten(quarantine):
-    quarantine.lost(INNOCENT, server(0), 0.0)
-    assert quarantine.standing(INNOCENT, 1.0) is Standing.SUSPECT
-    assert quarantine.standing(INNOCENT, 11_000.0) is Standing.CLEAR
+    quarantine.record_loss(INNOCENT, server(0), 0.0)
+    assert quarantine.status_of(INNOCENT, 1.0) is QuarantineStatus.SUSPECT
+    assert quarantine.status_of(INNOCENT, 11_000.0) is QuarantineStatus.CLEAR
 
 
 def test_a_request_that_runs_elsewhere_is_cleared(quarantine):
     crash(quarantine, 0, 0.0, [POISON, INNOCENT])
-    quarantine.started(INNOCENT, server(1), 5.0)
-    quarantine.answered(INNOCENT, server(1), 9.0)
-    assert quarantine.standing(INNOCENT, 10.0) is Standing.CLEAR
-    assert quarantine.standing(POISON, 10.0) is Standing.SUSPECT
+    quarantine.record_start(INNOCENT, server(1), 5.0)
+    quarantine.record_answer(INNOCENT, server(1), 9.0)
+    assert quarantine.status_of(INNOCENT, 10.0) is QuarantineStatus.CLEAR
+    assert quarantine.status_of(POISON, 10.0) is QuarantineStatus.SUSPECT
     assert len(quarantine) == 1
 
 
@@ -81,7 +81,7 @@
         crash(quarantine, number, 10.0 * number, [1000 + number])
     crash(quarantine, 4, 50.0, [INNOCENT])
     crash(quarantine, 5, 60.0, [INNOCENT])
-    assert quarantine.standing(INNOCENT, 70.0) is Standing.SUSPECT
+    assert quarantine.status_of(INNOCENT, 70.0) is QuarantineStatus.SUSPECT
 
 
 def test_weighing_chance_is_what_saves_it():
@@ -90,40 +90,40 @@
         crash(quarantine, number, 10.0 * number, [1000 + number])
     crash(quarantine, 4, 50.0, [INNOCENT])
     crash(quarantine, 5, 60.0, [INNOCENT])
-    assert quarantine.standing(INNOCENT, 70.0) is Standing.REFUSED
+    assert quarantine.status_of(INNOCENT, 70.0) is QuarantineStatus.REFUSED
 
 
 def test_a_suspect_is_kept_apart_from_other_suspects(quarantine):
     crash(quarantine, 0, 0.0, [POISON, INNOCENT])
-    quarantine.started(POISON, server(1), 5.0)
-    assert quarantine.occupied(6.0) == (server(1),)
-    quarantine.ended(POISON, server(1))
-    assert quarantine.occupied(7.0) == ()
+    quarantine.record_start(POISON, server(1), 5.0)
+    assert quarantine.servers_with_suspects(6.0) == (server(1),)
+    quarantine.record_end(POISON, server(1))
+    assert quarantine.servers_with_suspects(7.0) == ()
 
 
 def test_a_refusal_ends(quarantine):
     crash(quarantine, 0, 0.0)
     crash(quarantine, 1, 20_000.0)
-    assert quarantine.standing(POISON, 500_000.0) is Standing.REFUSED
-    assert quarantine.standing(POISON, 700_000.0) is Standing.CLEAR
+    assert quarantine.status_of(POISON, 500_000.0) is QuarantineStatus.REFUSED
+    assert quarantine.status_of(POISON, 700_000.0) is QuarantineStatus.CLEAR
 
 
 def test_other_nodes_learn_a_refusal_and_add_up_deaths():
     one, other, third = Quarantine(), Quarantine(), Quarantine()
     news = crash(one, 0, 0.0)
-    other.learn(news, 1000.0, SERVERS)
-    assert other.standing(POISON, 1001.0) is Standing.SUSPECT
+    other.merge(news, 1000.0, SERVERS)
+    assert other.status_of(POISON, 1001.0) is QuarantineStatus.SUSPECT
     crash(other, 1, 20_000.0)
-    assert other.standing(POISON, 20_010.0) is Standing.REFUSED
-    third.learn(other.export(20_010.0), 5.0, SERVERS)
-    assert third.standing(POISON, 6.0) is Standing.REFUSED
+    assert other.status_of(POISON, 20_010.0) is QuarantineStatus.REFUSED
+    third.merge(other.export(20_010.0), 5.0, SERVERS)
+    assert third.status_of(POISON, 6.0) is QuarantineStatus.REFUSED
 
 
 def test_learning_again_changes_nothing():
     one, other = Quarantine(), Quarantine()
     news = crash(one, 0, 0.0)
     for _ in range(3):
-        other.learn(news, 10.0, SERVERS)
+        other.merge(news, 10.0, SERVERS)
     assert other.export(10.0) == news
 
 
@@ -140,22 +140,22 @@
     for now_ms, (action, number, which) in enumerate(events):
         one, key = 500 + number, server(which)
         if action == "s":
-            quarantine.started(one, key, now_ms)
+            quarantine.record_start(one, key, now_ms)
         elif action == "l":
-            quarantine.lost(one, key, now_ms)
+            quarantine.record_loss(one, key, now_ms)
         elif action == "a":
-            quarantine.answered(one, key, now_ms)
+            quarantine.record_answer(one, key, now_ms)
         elif action == "d":
-            quarantine.server_died(key, now_ms, 9)
+            quarantine.record_death(key, now_ms, 9)
             deaths.add(key)
         elif action == "e":
-            quarantine.ended(one, key)
+            quarantine.record_end(one, key)
         elif action == "x":
-            quarantine.server_alive(key)
-        standing = quarantine.standing(one, now_ms)
+            quarantine.record_alive(key)
+        standing = quarantine.status_of(one, now_ms)
         assert len(quarantine) <= 8
         if len(deaths) < 2:
-            assert standing is not Standing.REFUSED
+            assert standing is not QuarantineStatus.REFUSED
 
 
 def test_the_table_keeps_the_latest_suspects():
@@ -163,5 +163,5 @@
     for number in range(50):
         crash(quarantine, number, 1.0 * number, [1000 + number])
     assert len(quarantine) == 8
-    assert quarantine.standing(1049, 60.0) is Standing.SUSPECT
-    assert quarantine.standing(1000, 60.0) is Standing.CLEAR
+    assert quarantine.status_of(1049, 60.0) is QuarantineStatus.SUSPECT
+    assert quarantine.status_of(1000, 60.0) is QuarantineStatus.CLEAR
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -63,7 +63,7 @@
         (line(FAILED, reason="TIMEOUT"), Outcome.FAILED, Decision.TIMEOUT),
         (line(FAILED, reason="STOPPING"), Outcome.FAILED, Decision.STOPPED),
         (line(FAILED, reason="NEW"), Outcome.FAILED, Decision.OTHER),
-        (line(events.CALL_GONE.number), Outcome.GONE, Decision.CALLER),
+        (line(events.CALLER_DISCONNECTED.number), Outcome.GONE, Decision.CALLER),
     ],
 )
 def test_each_end_has_a_verdict(
@@ -211,8 +211,8 @@
     writer = LineWriter(clock=lambda: 0.0)
     for _ in range(int(BURST_LINES)):
         writer.add(events.CALL_ENDED, {}, routine=True)
-    left_out = writer.left_out
+    left_out = writer.dropped
     assert left_out == int(RESERVED_LINES) - 1
     for _ in range(200):
         writer.add(events.CALL_REFUSED, {})
-    assert writer.left_out == left_out
+    assert writer.dropped == left_out
--- a/tests/test_mesh_admission.py
+++ b/tests/test_mesh_admission.py
@@ -52,7 +52,7 @@
     admission.learn("read", 150.0)
     decisions = [admission.offer(ticket(), 0.0) for _ in range(6)]
     assert isinstance(decisions[-1], Refused)
-    assert decisions[-1].retry_ms > 0
+    assert decisions[-1].retry_after_ms > 0
 
 
 def test_the_urgent_class_goes_first_in_overload() -> None:
--- a/tests/test_mesh_backend.py
+++ b/tests/test_mesh_backend.py
@@ -5,7 +5,7 @@
 
 from azurestep.errors import MessageMalformedError
 from azurestep.mesh.backend.state import DRAIN_SHARE, Backend
-from azurestep.platform.announcement import Heartbeat, Leaving, read_announcement
+from azurestep.platform.announcement import Heartbeat, LeavingNotice, read_announcement
 
 DRAIN_MS = 2000.0
 BEAT = Heartbeat("i-1", "shop", 1, 4, False, 0.0)
@@ -35,7 +35,7 @@
 def test_deregistration_without_a_heartbeat_before_is_a_leaving(
     backend: Backend,
 ) -> None:
-    backend.leave(Leaving("i-1"), 50.0)
+    backend.leave(LeavingNotice("i-1"), 50.0)
     assert not backend.is_open()
     assert not backend.admits(50.0 + DRAIN_MS)
 
--- a/tests/test_mesh_bodies.py
+++ b/tests/test_mesh_bodies.py
@@ -66,8 +66,8 @@
     assert silent.outcomes == []
     beside.after(100.0)
     assert silent.outcomes == ["TOO_LATE"]
-    assert beside.inbound.health.failing == 0.0
-    assert beside.inbound.admission.busy == 0
+    assert beside.inbound.health.failure_ratio == 0.0
+    assert beside.inbound.admission.in_flight == 0
 
 
 def test_an_upload_that_waits_for_its_turn_leaves_a_stopping_node(
@@ -95,7 +95,7 @@
         beside.loop.run_due()
         assert not run.may_run
         assert listener.outcomes == [reason]
-        assert beside.inbound.admission.busy == 0
+        assert beside.inbound.admission.in_flight == 0
 
 
 def test_a_held_request_that_is_let_go_too_late_is_not_run(beside: Beside) -> None:
--- a/tests/test_mesh_choice.py
+++ b/tests/test_mesh_choice.py
@@ -34,12 +34,12 @@
 
 
 def test_a_read_goes_abroad_when_all_slots_near_are_taken(random: Random) -> None:
-    near, far = endpoint("near", busy=8), endpoint("far", "dc-2")
+    near, far = endpoint("near", in_flight=8), endpoint("far", "dc-2")
     assert pick([near, far], random) == "far"
 
 
 def test_an_upload_waits_near_rather_than_going_abroad(random: Random) -> None:
-    near, far = endpoint("near", busy=5), endpoint("far", "dc-2")
+    near, far = endpoint("near", in_flight=5), endpoint("far", "dc-2")
     assert pick([near, far], random, size_kib=60.0) == "near"
 
 
@@ -68,7 +68,7 @@
 def test_one_that_failed_or_is_doubted_is_the_last_resort(random: Random) -> None:
     failed = endpoint("failed", failed_until_ms=100.0)
     doubted = endpoint("doubted", doubted=True)
-    sound = endpoint("sound", busy=4)
+    sound = endpoint("sound", in_flight=4)
     assert pick([failed, doubted, sound], random) == "sound"
     assert pick([doubted], random) == "doubted"
 
@@ -93,8 +93,8 @@
 def test_many_nodes_with_the_same_old_news_choose_different_servers(
     random: Random,
 ) -> None:
-    crowd = [endpoint(f"e{index}", busy=4) for index in range(30)]
-    crowd[0].busy = 0
+    crowd = [endpoint(f"e{index}", in_flight=4) for index in range(30)]
+    crowd[0].in_flight = 0
     picks = Counter(pick(crowd, random) for _ in range(300))
     assert picks["e0"] < 150
     assert len(picks) > 20
@@ -112,6 +112,6 @@
     for _ in range(30):
         sizes.learn("download", 90_000)
         sizes.learn("read", 1_500)
-    near, far = endpoint("near", busy=7), endpoint("far", "dc-2")
+    near, far = endpoint("near", in_flight=7), endpoint("far", "dc-2")
     assert pick([near, far], random, sizes.kib("download")) == "near"
     assert pick([near, far], random, sizes.kib("read")) == "far"
--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -99,7 +99,7 @@
     assert not remote.node.inbound.busy
 
 
-@pytest.mark.parametrize("method", ["on_answer", "_pass_on", "on_ready"])
+@pytest.mark.parametrize("method", ["on_answer", "_pass_on", "on_slot_ready"])
 async def test_a_fault_beside_the_caller_fails_its_request_alone(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch, method: str
 ) -> None:
@@ -187,6 +187,6 @@
     assert loop.time() - began < 0.9
     assert not remote.node.inbound.busy
     assert not remote.node.inbound.admission.running
-    assert remote.node.inbound.health.failing == 0.0
+    assert remote.node.inbound.health.failure_ratio == 0.0
     reasons = {line["reason"] for line in mesh_lines.of(events.RUN_FAILED.number)}
     assert reasons == {"FAULT"}
--- a/tests/test_mesh_containment_callers.py
+++ b/tests/test_mesh_containment_callers.py
@@ -108,7 +108,7 @@
 ) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 1.0
-    breaks(monkeypatch, Call, "on_gone", of_call)
+    breaks(monkeypatch, Call, "on_disconnect", of_call)
     reader, writer = await asyncio.open_connection(mesh.instances[0].host, CALLER_PORT)
     names = ["a", FAULTY.decode(), "b", "c"]
     writer.write(b"".join(message(name) for name in names))
@@ -196,7 +196,7 @@
         (Prober, "check"),
         (RefusalMeter, "tick"),
         (Follower, "tick"),
-        (Node, "tell_state"),
+        (Node, "schedule_state_broadcast"),
         (Node, "_check_settings"),
         (Node, "_reports"),
         (ReturningCallers, "forget"),
--- a/tests/test_mesh_containment_queue.py
+++ b/tests/test_mesh_containment_queue.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from azurestep.http.client import ClientConnection, Idle
+from azurestep.http.client import ClientConnection, IdlePool
 from azurestep.mesh.backend.inbound import Inbound
 from azurestep.mesh.backend.run import Run
 from azurestep.mesh.backend.transfers import AT_ONCE, Transfers
@@ -49,19 +49,19 @@
         for _ in range(SLOTS):
             with pytest.raises(KeyError):
                 beside.submit(Listener(), FAR_MS)
-    assert beside.inbound.admission.busy == 0
+    assert beside.inbound.admission.in_flight == 0
     assert not beside.inbound.busy
 
 
 def test_a_fault_in_asking_for_a_body_takes_no_turn(beside: Beside) -> None:
-    with broken(Listener, "on_ready"):
+    with broken(Listener, "on_slot_ready"):
         for _ in range(AT_ONCE):
             with pytest.raises(KeyError):
                 upload(beside, FAR_MS)
     _, sound = upload(beside, FAR_MS)
     beside.loop.run_due()
     assert sound.asked == 1
-    assert beside.inbound.admission.busy == 1
+    assert beside.inbound.admission.in_flight == 1
 
 
 def test_a_fault_in_the_age_of_one_run_hides_no_other(beside: Beside) -> None:
@@ -73,7 +73,7 @@
         beside.inbound.tick()
         beside.loop.run_due()
     assert [one.outcomes for one in listeners] == [["failed FAULT"], ["failed TIMEOUT"]]
-    assert beside.inbound.admission.busy == 0
+    assert beside.inbound.admission.in_flight == 0
 
 
 def test_a_fault_in_the_age_of_a_run_keeps_no_address_untried(
@@ -89,7 +89,7 @@
         return None
 
     with broken(Run, "check_age"), pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Idle, "sweep", lambda idle, now_s: swept.append(now_s))
+        patch.setattr(IdlePool, "sweep", lambda idle, now_s: swept.append(now_s))
         patch.setattr(type(beside.inbound), "connect", connect)
         beside.inbound.tick()
         beside.loop.run_due()
@@ -183,4 +183,4 @@
             beside.loop.run_due()
     beside.loop.run_due()
     assert listener.outcomes == ["failed FAULT"]
-    assert beside.inbound.admission.busy == 0
+    assert beside.inbound.admission.in_flight == 0
--- a/tests/test_mesh_crashes.py
+++ b/tests/test_mesh_crashes.py
@@ -26,7 +26,7 @@
         calling_service=b"shop",
         idempotent=True,
         priority=2,
-        budget_ms=1000.0,
+        remaining_ms=1000.0,
         objective_ms=400.0,
         sent_ms=0.0,
         length=0,
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -17,7 +17,7 @@
 from azurestep.mesh.links.server import HANDLERS as OF_SERVER
 from azurestep.mesh.links.server import PeerServer
 from azurestep.mesh.messages import (
-    FORMAT,
+    PROTOCOL_VERSION,
     Answer,
     Failure,
     Hello,
@@ -33,7 +33,7 @@
 from .test_mesh_crashes import request
 
 STREAM = 3
-HELLO = Hello(FORMAT, ("10.0.0.1", 7), "dc-0", 5, 3)
+HELLO = Hello(PROTOCOL_VERSION, ("10.0.0.1", 7), "dc-0", 5, 3)
 STATE = State("shop", b"i-1", 9, True, 4, 2, 0.5, 3, True, False, 0.0, (("read", 4),))
 ANSWER = Answer(200, [(b"a", b"b")], True, 1, True, b"x", 0, 5.0)
 CRASHES = [[7, [["10.0.0.1", 80, 3]], 5.0]]
@@ -51,9 +51,9 @@
     Kind.FAILURE: [STREAM, int(Reason.RESET), 0],
     Kind.CREDIT: [STREAM, 500],
     Kind.CONFIGURATION: [4, compress(b"{}")],
-    Kind.CONFIGURATION_WANTED: [],
-    Kind.READY: [STREAM],
-    Kind.GO: [STREAM],
+    Kind.CONFIGURATION_QUERY: [],
+    Kind.SLOT_READY: [STREAM],
+    Kind.PROCEED: [STREAM],
     Kind.CRASHES: ["shop", CRASHES],
     Kind.WITHDRAW: [STREAM],
 }
@@ -238,14 +238,14 @@
 
 def test_another_format_can_not_be_read() -> None:
     decoder = Decoder(OF_CALLED_NODES)
-    other = attrs.evolve(HELLO, format=FORMAT + 1)
+    other = attrs.evolve(HELLO, format=PROTOCOL_VERSION + 1)
     assert decoder.feed(encode(Kind.HELLO, *fields_of(other))) == []
     assert "format" in decoder.fault
 
 
 def test_kinds_of_a_newer_program_are_passed_by() -> None:
     decoder = Decoder(OF_CALLING_NODES)
-    assert decoder.feed(msgpack.packb([99, {"a": 1}]) + encode(Kind.GO, 7))
+    assert decoder.feed(msgpack.packb([99, {"a": 1}]) + encode(Kind.PROCEED, 7))
     assert not decoder.fault
 
 
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -163,7 +163,7 @@
     held = [asyncio.create_task(read(mesh, serving, f"h{index}")) for index in range(4)]
     await eventually(lambda: serving.server.running == 4)
     task = asyncio.create_task(read(mesh, asking, "n1"))
-    await eventually(lambda: serving.node.inbound.admission.busy == 5)
+    await eventually(lambda: serving.node.inbound.admission.in_flight == 5)
     other.node.inbound.admission.closes_ms = 0.0
     await reopen(mesh, other)
     silence(serving)
--- a/tests/test_mesh_foreign_records.py
+++ b/tests/test_mesh_foreign_records.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from azurestep.errors import MessageMalformedError
-from azurestep.platform.announcement import Heartbeat, Leaving, read_announcement
+from azurestep.platform.announcement import Heartbeat, LeavingNotice, read_announcement
 from azurestep.platform.topics import CONFIGURATION_KEY, MEMBERS_TOPIC, OPERATOR_TOPIC
 from standins.store import StoreStandIn
 
@@ -106,9 +106,9 @@
 
 def test_a_leaving_notice_tells_its_start_or_not() -> None:
     target = "/v1/instances/i-1/deregister"
-    assert read_announcement(target, b"") == Leaving("i-1")
-    assert read_announcement(target, b"{}") == Leaving("i-1")
-    assert read_announcement(target, b'{"born": 5}') == Leaving("i-1", 5)
+    assert read_announcement(target, b"") == LeavingNotice("i-1")
+    assert read_announcement(target, b"{}") == LeavingNotice("i-1")
+    assert read_announcement(target, b'{"born": 5}') == LeavingNotice("i-1", 5)
 
 
 JSON_VALUES = st.recursive(
@@ -142,7 +142,7 @@
     assert type(found.slots) is int and found.slots >= 1
     assert type(found.sequence) is int and found.sequence >= 0
     assert type(found.service) is str and found.service
-    assert found.born_ms is None or type(found.born_ms) is int
+    assert found.started_ms is None or type(found.started_ms) is int
 
 
 async def announce(session: ClientSession, host: str, name: str, body: bytes) -> int:
--- a/tests/test_mesh_headers.py
+++ b/tests/test_mesh_headers.py
@@ -17,7 +17,7 @@
         ]
     )
     assert caller.host == b"shop.example"
-    assert caller.budget_ms == 700.0
+    assert caller.remaining_ms == 700.0
     assert caller.forwarded == [
         (b"Host", b"Shop.example"),
         (b"Attempt-Id", b"a1"),
@@ -27,7 +27,7 @@
 
 def test_an_unreadable_deadline_is_none() -> None:
     for value in (b"", b"-1", b"1e9", b"soon"):
-        assert read_caller([(b"Deadline-Milliseconds", value)]).budget_ms is None
+        assert read_caller([(b"Deadline-Milliseconds", value)]).remaining_ms is None
 
 
 def test_the_backend_server_learns_what_is_left() -> None:
--- a/tests/test_mesh_health.py
+++ b/tests/test_mesh_health.py
@@ -23,34 +23,34 @@
 
 
 def test_one_failure_does_not_close_a_quiet_server() -> None:
-    assert failed_often(1).failing <= 0.4
+    assert failed_often(1).failure_ratio <= 0.4
 
 
 def test_a_server_that_fails_all_is_told_so() -> None:
-    assert failed_often(15).failing >= 0.8
+    assert failed_often(15).failure_ratio >= 0.8
 
 
 def test_a_server_that_is_avoided_is_tried_again_after_three_seconds() -> None:
     health = failed_often(15)
     for _ in range(TICKS_IN_3_S):
         health.tick()
-    assert health.failing <= 0.3
+    assert health.failure_ratio <= 0.3
 
 
 def test_a_new_incarnation_starts_afresh() -> None:
     health = failed_often(15)
     health.clear()
-    assert health.failing == 0.0
+    assert health.failure_ratio == 0.0
 
 
 def test_a_failing_server_is_chosen_only_when_the_others_are_past_their_room() -> None:
-    failing = Endpoint("failing", "shop", b"f", "dc", slots=4, failing=0.6)
-    other = Endpoint("other", "shop", b"o", "dc", slots=4, busy=4)
+    failing = Endpoint("failing", "shop", b"f", "dc", slots=4, failure_ratio=0.6)
+    other = Endpoint("other", "shop", b"o", "dc", slots=4, in_flight=4)
     wish = Wish("shop", "read", 400.0, 150.0, 1.5, "dc")
     random = Random(3)
     found = {choose([failing, other], wish, set(), 0.0, random) for _ in range(50)}
     assert found == {other}
-    other.busy = 40
+    other.in_flight = 40
     assert choose([failing, other], wish, set(), 0.0, random) is failing
 
 
@@ -62,7 +62,7 @@
     beside.loop.now_ms += pause_ms
     run.withdraw()
     assert listener.outcomes == ["failed TIMEOUT"]
-    return beside.inbound.health.failing
+    return beside.inbound.health.failure_ratio
 
 
 def test_a_run_that_is_withdrawn_before_its_deadline_is_no_failure(
@@ -95,7 +95,7 @@
     async with asyncio.timeout(2):
         while not all(
             any(
-                endpoint.failing > 0.2
+                endpoint.failure_ratio > 0.2
                 for endpoint in item.node.members.endpoints("shop")
             )
             for item in mesh.instances
@@ -124,4 +124,4 @@
     instance.server.misbehave = lambda received: signed(received, b"", status)
     for index in range(6):
         await mesh.get(instance, "/read/1", f"s{index}")
-    assert instance.node.inbound.health.failing == 0.0
+    assert instance.node.inbound.health.failure_ratio == 0.0
--- a/tests/test_mesh_idle.py
+++ b/tests/test_mesh_idle.py
@@ -8,35 +8,35 @@
     DISTRUST_S,
     TRUST_LEAST_MS,
     ClientConnection,
-    Idle,
+    IdlePool,
 )
 
 from .fixtures_mesh import MeshFleet
 
 
 @pytest.fixture
-def idle() -> Idle:
-    return Idle(8000.0)
+def idle() -> IdlePool:
+    return IdlePool(8000.0)
 
 
 def test_a_connection_that_rested_longer_than_is_trusted_is_not_taken(
-    idle: Idle,
+    idle: IdlePool,
 ) -> None:
-    idle.distrust(300.0, 0.0)
+    idle.reduce_reuse_limit(300.0, 0.0)
     idle.put(ClientConnection(), 0.0)
     assert idle.take(0.2) is None
     idle.put(ClientConnection(), 1.0)
     assert idle.take(1.1) is not None
 
 
-def test_trust_only_falls_until_it_is_restored(idle: Idle) -> None:
-    idle.distrust(300.0, 0.0)
-    idle.distrust(2000.0, 1.0)
-    assert idle.trusted_ms == pytest.approx(180.0)
-    idle.distrust(1.0, 2.0)
-    assert idle.trusted_ms == TRUST_LEAST_MS
+def test_trust_only_falls_until_it_is_restored(idle: IdlePool) -> None:
+    idle.reduce_reuse_limit(300.0, 0.0)
+    idle.reduce_reuse_limit(2000.0, 1.0)
+    assert idle.reuse_limit_ms == pytest.approx(180.0)
+    idle.reduce_reuse_limit(1.0, 2.0)
+    assert idle.reuse_limit_ms == TRUST_LEAST_MS
     idle.sweep(2.0 + DISTRUST_S + 0.1)
-    assert idle.trusted_ms == 8000.0
+    assert idle.reuse_limit_ms == 8000.0
 
 
 async def test_after_one_reset_no_payment_is_sent_on_a_connection_as_old(
@@ -49,8 +49,8 @@
     await asyncio.sleep(0.4)
     instance.server.forget_connections()
     await mesh.get(instance, "/read/1", "second")
-    trusted_ms = instance.node.inbound.idle.trusted_ms
-    assert trusted_ms < 400.0
+    reuse_limit_ms = instance.node.inbound.idle.reuse_limit_ms
+    assert reuse_limit_ms < 400.0
     await mesh.get(instance, "/read/1", "third")
     await asyncio.sleep(0.4)
     instance.server.forget_connections()
--- a/tests/test_mesh_incarnations.py
+++ b/tests/test_mesh_incarnations.py
@@ -10,14 +10,14 @@
 from azurestep.mesh.backend.crashes import CrashWatch
 from azurestep.mesh.backend.state import Backend
 from azurestep.mesh.incarnation import Incarnation
-from azurestep.platform.announcement import Heartbeat, Leaving
+from azurestep.platform.announcement import Heartbeat, LeavingNotice
 
 from .fixtures_mesh import MeshFleet
 from .test_mesh_crashes import request as crash_request
 
 DRAIN_MS = 2000.0
-FIRST = Heartbeat("i-1", "shop", 40, 4, False, 0.0, born_ms=1_000)
-AGAIN = Heartbeat("i-1", "shop", 1, 6, False, 500.0, born_ms=9_000)
+FIRST = Heartbeat("i-1", "shop", 40, 4, False, 0.0, started_ms=1_000)
+AGAIN = Heartbeat("i-1", "shop", 1, 6, False, 500.0, started_ms=9_000)
 """The same id, started later: its heartbeats count from one."""
 
 
@@ -32,7 +32,7 @@
     backend.announce(AGAIN, 10.0)
     assert backend.incarnation == Incarnation(b"i-1", 9_000)
     assert backend.slots == 6
-    assert backend.cold_ms(10.0) == 500.0
+    assert backend.cold_remaining_ms(10.0) == 500.0
 
 
 def test_heartbeats_count_anew(backend: Backend) -> None:
@@ -69,9 +69,9 @@
     backend: Backend,
 ) -> None:
     backend.announce(AGAIN, 10.0)
-    backend.leave(Leaving("i-1", born_ms=1_000), 20.0)
+    backend.leave(LeavingNotice("i-1", started_ms=1_000), 20.0)
     assert backend.is_open()
-    backend.leave(Leaving("i-1", born_ms=9_000), 30.0)
+    backend.leave(LeavingNotice("i-1", started_ms=9_000), 30.0)
     assert not backend.is_open()
 
 
@@ -101,13 +101,13 @@
 
 def test_a_notice_without_a_start_concerns_the_newest_one(backend: Backend) -> None:
     backend.announce(AGAIN, 10.0)
-    backend.leave(Leaving("i-1"), 20.0)
+    backend.leave(LeavingNotice("i-1"), 20.0)
     assert not backend.is_open()
 
 
 def test_without_starts_all_is_as_before() -> None:
     backend = Backend(DRAIN_MS)
-    plain = attrs.evolve(FIRST, born_ms=None)
+    plain = attrs.evolve(FIRST, started_ms=None)
     backend.announce(plain, 0.0)
     backend.announce(attrs.evolve(plain, sequence=39, slots=9), 1.0)
     assert backend.slots == 4
@@ -119,7 +119,7 @@
     backend.discover("i-1", "shop", 4)
     before = backend.incarnation
     backend.announce(FIRST, 10.0)
-    assert backend.incarnation.may_be(before)
+    assert backend.incarnation.matches(before)
     assert backend.is_open()
 
 
@@ -141,38 +141,38 @@
     backend = Backend(DRAIN_MS)
     newest = 0
     leaving: set[int] = set()
-    for now_ms, (born_ms, sequence, leaves, by_notice) in enumerate(steps):
+    for now_ms, (started_ms, sequence, leaves, by_notice) in enumerate(steps):
         if by_notice:
-            backend.leave(Leaving("i-1", born_ms), float(now_ms))
+            backend.leave(LeavingNotice("i-1", started_ms), float(now_ms))
         else:
-            beat = Heartbeat("i-1", "shop", sequence, 4, leaves, 0.0, born_ms)
+            beat = Heartbeat("i-1", "shop", sequence, 4, leaves, 0.0, started_ms)
             backend.announce(beat, float(now_ms))
-        newest = max(newest, born_ms)
-        if born_ms == newest and (leaves or by_notice):
-            leaving.add(born_ms)
+        newest = max(newest, started_ms)
+        if started_ms == newest and (leaves or by_notice):
+            leaving.add(started_ms)
         assert backend.is_open() == (
             bool(backend.instance_id) and newest not in leaving
         )
         if backend.instance_id:
-            assert backend.incarnation.born_ms == newest
+            assert backend.incarnation.started_ms == newest
 
 
 def test_two_deaths_under_one_id_are_two_deaths() -> None:
     watch = CrashWatch("127.0.0.1", servers=lambda service: 6)
-    for now_ms, born_ms in ((0.0, 1_000), (20.0, 9_000)):
-        request = attrs.evolve(crash_request(), born_ms=born_ms)
+    for now_ms, started_ms in ((0.0, 1_000), (20.0, 9_000)):
+        request = attrs.evolve(crash_request(), server_started_ms=started_ms)
         watch.lost(request, now_ms)
         watch.died("shop", request.incarnation, now_ms + 1)
     assert watch.refuses(crash_request(), 30.0)
 
 
-async def beat(mesh: MeshFleet, index: int, born_ms: int, **status: object) -> int:
+async def beat(mesh: MeshFleet, index: int, started_ms: int, **status: object) -> int:
     instance = mesh.instances[index]
     body = {
         "address": f"{instance.host}:7106",
         "information": {"service": "shop", "version": "v1", "zone": "z", "slots": 4},
         "status": {"state": "ready", "sequence": 1, "cold_remaining": "0ms", **status},
-        "born": born_ms,
+        "born": started_ms,
     }
     address = f"http://{instance.host}:7104/v1/instances/i-{index + 1}/heartbeat"
     async with mesh.session.post(address, json=body) as answer:
--- a/tests/test_mesh_leaving_callers.py
+++ b/tests/test_mesh_leaving_callers.py
@@ -48,10 +48,10 @@
     reads = [asyncio.create_task(read(mesh, asked, name)) for name in names]
     await eventually(lambda: serving.server.running == slots)
     writer = await ask(asked, "leaves")
-    await eventually(lambda: admission.busy == slots + 1)
+    await eventually(lambda: admission.in_flight == slots + 1)
     learn_long(serving)
     writer.close()
     assert await asyncio.gather(*reads) == [200] * slots
     assert [serving.server.runs[name] for name in names] == [1] * slots
     assert serving.server.runs["leaves"] == 0
-    assert admission.busy == 0
+    assert admission.in_flight == 0
--- a/tests/test_mesh_lines.py
+++ b/tests/test_mesh_lines.py
@@ -15,7 +15,7 @@
     writer = LineWriter(writer_end, clock=lambda: now_s)
     for index in range(int(BURST_LINES) + 50):
         writer.add(events.CALL_ENDED, {"id": index})
-    assert writer.left_out == 50
+    assert writer.dropped == 50
     writer.flush()
     now_s = 1.0
     writer.add(events.CALL_ENDED, {"id": "last"})
@@ -28,9 +28,9 @@
     writer = LineWriter(clock=lambda: 0.0)
     for index in range(int(BURST_LINES) + 1):
         writer.add(events.CALL_ENDED, {"id": index})
-    left_out = writer.left_out
+    dropped = writer.dropped
     writer.add(events.VERSION_REFUSED, {"cause": "x"})
-    assert writer.left_out == left_out
+    assert writer.dropped == dropped
 
 
 def test_a_reader_that_stands_still_blocks_nothing() -> None:
@@ -43,4 +43,4 @@
         writer.add(events.CALL_ENDED, {"id": index, "text": "x" * 100})
         if index % 100 == 0:
             writer.flush()
-    assert writer.left_out > 0
+    assert writer.dropped > 0
--- a/tests/test_mesh_queue.py
+++ b/tests/test_mesh_queue.py
@@ -32,7 +32,7 @@
     answer(first)
     beside.loop.run_due()
     assert [one.outcomes for one in waiting] == [["LEAVING"]] * MANY
-    assert beside.inbound.admission.busy == 0
+    assert beside.inbound.admission.in_flight == 0
     assert not beside.inbound.busy
 
 
@@ -45,7 +45,7 @@
         run.cancel()
     beside.loop.run_due()
     assert [run.may_run for run in runs] == [True] * 4 + [False] * 4
-    assert beside.inbound.admission.busy == 0
+    assert beside.inbound.admission.in_flight == 0
 
 
 def test_a_request_that_ends_while_others_are_refused_ends_once(
@@ -71,4 +71,4 @@
     assert answered.outcomes == ["answer"]
     assert [one.outcomes for one in listeners] == [["TOO_LATE"], [], ["TOO_LATE"]]
     assert [run.done for run in others] == [False] * 3
-    assert beside.inbound.admission.busy == 3
+    assert beside.inbound.admission.in_flight == 3
--- a/tests/test_mesh_queue_properties.py
+++ b/tests/test_mesh_queue_properties.py
@@ -296,7 +296,7 @@
         self.each_request_has_one_outcome_or_was_cancelled()
         self.all_that_failed_were_receivers()
         assert not self.beside.inbound.busy
-        assert self.beside.inbound.admission.busy == 0
+        assert self.beside.inbound.admission.in_flight == 0
 
 
 TestBooksBesideServer = BooksBesideServer.TestCase
--- a/tests/test_mesh_restart.py
+++ b/tests/test_mesh_restart.py
@@ -6,7 +6,7 @@
 import pytest
 
 from azurestep.mesh.backend.state import Backend
-from azurestep.platform.announcement import Heartbeat, Leaving
+from azurestep.platform.announcement import Heartbeat, LeavingNotice
 
 from .fixtures_mesh import MeshFleet, MeshInstance
 
@@ -47,9 +47,9 @@
 def test_a_heartbeat_corrects_what_a_probe_found() -> None:
     backend = Backend(DRAIN_MS)
     assert backend.discover("i-1", "shop", 4)
-    backend.announce(attrs.evolve(BEAT, slots=9, cold_ms=500.0), 10.0)
+    backend.announce(attrs.evolve(BEAT, slots=9, cold_remaining_ms=500.0), 10.0)
     assert backend.slots == 9
-    assert backend.cold_ms(10.0) == 500.0
+    assert backend.cold_remaining_ms(10.0) == 500.0
 
 
 def test_a_probe_changes_nothing_that_was_announced() -> None:
@@ -60,10 +60,12 @@
 
 
 @pytest.mark.parametrize(
-    "notice", [attrs.evolve(BEAT, leaving=True), Leaving("i-1")], ids=["beat", "end"]
+    "notice",
+    [attrs.evolve(BEAT, leaving=True), LeavingNotice("i-1")],
+    ids=["beat", "end"],
 )
 def test_who_leaves_as_the_first_thing_heard_of_it_gets_nothing(
-    notice: Heartbeat | Leaving,
+    notice: Heartbeat | LeavingNotice,
 ) -> None:
     backend = Backend(DRAIN_MS)
     if isinstance(notice, Heartbeat):
@@ -78,7 +80,7 @@
 def test_who_leaves_after_it_was_found_has_half_the_bound() -> None:
     backend = Backend(DRAIN_MS)
     backend.discover("i-1", "shop", 4)
-    backend.leave(Leaving("i-1"), 100.0)
+    backend.leave(LeavingNotice("i-1"), 100.0)
     assert not backend.is_open()
     assert backend.admits(150.0)
     assert not backend.admits(100.0 + DRAIN_MS)
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -108,13 +108,15 @@
         decision = self.admission.offer(ticket, now_ms)
         if isinstance(decision, Refused):
             self.returning.remember(Attempt(place, first_ms, ends_ms))
-            self.refused(now_ms, owner, decision.retry_ms)
+            self.refused(now_ms, owner, decision.retry_after_ms)
         elif decision:
             self.run(ticket, now_ms)
 
-    def refused(self, now_ms: float, owner: tuple[float, int], retry_ms: float) -> None:
+    def refused(
+        self, now_ms: float, owner: tuple[float, int], retry_after_ms: float
+    ) -> None:
         born_ms, tries = owner
-        back_ms = now_ms + retry_ms * self.random.uniform(0.5, 1.5)
+        back_ms = now_ms + retry_after_ms * self.random.uniform(0.5, 1.5)
         if tries >= 2 or back_ms > born_ms + self.DEADLINE_MS:
             self.outcomes["refused"] += 1
         else:
--- a/tests/test_mesh_routes.py
+++ b/tests/test_mesh_routes.py
@@ -10,8 +10,8 @@
 from azurestep.errors import ConfigurationError
 from azurestep.mesh.knowledge.configuration import Configuration
 from azurestep.platform.document import read_document
-from azurestep.routing.model import Part
-from azurestep.routing.table import RoutingTable, Split
+from azurestep.routing.model import WeightedService
+from azurestep.routing.table import RoutingTable, WeightedRoundRobin
 
 from .fixtures_mesh import document
 
@@ -32,8 +32,8 @@
 
 
 def test_a_split_deals_by_weight() -> None:
-    split = Split((Part("a", 90), Part("b", 10)))
-    taken = [split.take() for _ in range(100)]
+    split = WeightedRoundRobin((WeightedService("a", 90), WeightedService("b", 10)))
+    taken = [split.next_service() for _ in range(100)]
     assert taken.count("b") == 10
 
 
@@ -62,7 +62,7 @@
             assert table is not None
             route = table.match(b"shop.example", b"/split/1")
             assert route is not None
-            taken.append(table.service_of(route))
+            taken.append(table.choose_service(route))
     return taken.count("b") / len(taken)
 
 
@@ -82,8 +82,10 @@
 
 
 def test_a_part_without_weight_gets_nothing() -> None:
-    split = Split.started_anywhere((Part("a", 1), Part("b", 0)), Random(3))
-    assert {split.take() for _ in range(200)} == {"a"}
+    split = WeightedRoundRobin.with_random_start(
+        (WeightedService("a", 1), WeightedService("b", 0)), Random(3)
+    )
+    assert {split.next_service() for _ in range(200)} == {"a"}
 
 
 FAULTY = {
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -123,7 +123,7 @@
     await asyncio.sleep(0.1)
     await stop(stopping)
     assert await asyncio.gather(*calls) == [504] * 4
-    assert serving.node.inbound.health.failing == 0.0
+    assert serving.node.inbound.health.failure_ratio == 0.0
 
 
 async def test_a_request_that_comes_to_a_stopping_node_gets_no_more_time_than_it_has(
@@ -134,7 +134,7 @@
     stopping.node.stop()
     assert await read(patient, stopping, "late-1") == 200
     left_ms = float(serving.server.received[-1].headers["deadline-milliseconds"])
-    plan = stopping.node.orderly_stop.plan
+    plan = stopping.node.shutdown.plan
     assert plan is not None
     assert left_ms <= plan.answer_by_ms - plan.since_ms
 
@@ -232,7 +232,7 @@
     stopping.server.work_s = 4.5
     names = [f"q{index}" for index in range(8)]
     calls = [asyncio.create_task(read(patient, asking, name)) for name in names]
-    await eventually(lambda: stopping.node.inbound.admission.busy == len(names))
+    await eventually(lambda: stopping.node.inbound.admission.in_flight == len(names))
     await reopen(patient, other)
     stopping.node.stop()
     done, _ = await asyncio.wait(calls, timeout=1.0)
@@ -254,13 +254,13 @@
         calling_service=b"shop",
         idempotent=False,
         priority=1,
-        budget_ms=1500.0,
+        remaining_ms=1500.0,
         objective_ms=400.0,
         sent_ms=now_ms,
         length=0,
         whole=True,
         body=b"",
-        born_ms=incarnation.born_ms,
+        server_started_ms=incarnation.started_ms,
     )
 
 
@@ -311,7 +311,7 @@
     held = asyncio.create_task(mesh.get(stopping, "/read/1", "held-1"))
     await eventually(lambda: bool(stopping.node.calls.under_way))
     stopping.node.stop()
-    plan = stopping.node.orderly_stop.plan
+    plan = stopping.node.shutdown.plan
     assert plan is not None
     loop = asyncio.get_running_loop()
     with socket.socket() as caller:
@@ -319,7 +319,7 @@
         caller.connect((stopping.host, CALLER_PORT))
         caller.sendall(get_bytes("w1"))
         caller.setblocking(False)
-        stopping.node.orderly_stop.is_over(plan.refuses_from_ms)
+        stopping.node.shutdown.advance(plan.refuses_from_ms)
         answer = await asyncio.wait_for(loop.sock_recv(caller, 65_536), 2)
     assert answer.startswith(b"HTTP/1.1 503 ")
     assert (await held)[0] == 200
--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -10,13 +10,13 @@
     Appended,
     Conflict,
     Fenced,
-    Forgotten,
-    Newest,
+    LatestRecords,
     OutOfSequence,
     Producer,
     Records,
     Refused,
     StoreClient,
+    Truncated,
     Unanswered,
 )
 from azurestep.platform.topics import MEMBERS_TOPIC
@@ -68,7 +68,7 @@
 ) -> None:
     await client.append(TOPIC, [b"a", b"b"])
     mesh_store.topic(TOPIC).forget()
-    assert await client.read(TOPIC, 0, 0) == Forgotten(2)
+    assert await client.read(TOPIC, 0, 0) == Truncated(2)
 
 
 async def test_pages_of_keys_are_joined(
@@ -77,8 +77,8 @@
     mesh_store.page_items = 2
     for index in range(5):
         mesh_store.put("keyed.some", f"k{index}", b"v")
-    newest = await client.newest("keyed.some")
-    assert isinstance(newest, Newest)
+    newest = await client.read_latest("keyed.some")
+    assert isinstance(newest, LatestRecords)
     assert [item.key for item in newest.items] == [f"k{index}" for index in range(5)]
 
 
