--- a/azurestep/mesh/backend/crashes.py
+++ b/azurestep/mesh/backend/crashes.py
@@ -16,11 +16,11 @@
 from ..incarnation import Incarnation
 from ..messages import Request
 
-RETRY_MS = 10_000.0
+QUARANTINE_RETRY_AFTER_MS = 10_000.0
 """Time to come back after such a refusal: no request of a caller lives that long, so
 the request isn't sent again."""
 
-Tell = Callable[[str, list[QuarantineUpdate]], None]
+Publish = Callable[[str, list[QuarantineUpdate]], None]
 """Tells all nodes news of a service."""
 
 
@@ -62,25 +62,25 @@
 
 
 @attrs.define(eq=False)
-class CrashWatch:
+class CrashTracker:
     """What one node knows of requests that crash backend servers.
 
     Attributes
     ----------
     host : str
         Address of this instance.
-    tell : Callable
+    publish : Callable
         Tells all nodes what was learned here.
-    servers : Callable
+    count_servers : Callable
         Returns how many backend servers a service has.
     """
 
     host: str
-    tell: Tell = lambda service, updates: None
-    servers: Callable[[str], int] = lambda service: 1
+    publish: Publish = lambda service, updates: None
+    count_servers: Callable[[str], int] = lambda service: 1
     _tables: dict[str, Quarantine] = attrs.field(factory=dict)
 
-    def lost(self, request: Request, now_ms: float) -> None:
+    def record_lost(self, request: Request, now_ms: float) -> None:
         """Note that a backend server broke off before its answer began."""
         if request.whole:
             table = self._tables.setdefault(request.service, Quarantine())
@@ -88,42 +88,44 @@
                 fingerprint_of(request), self._key(request.incarnation), now_ms
             )
 
-    def answered(self, request: Request, now_ms: float) -> None:
+    def record_answered(self, request: Request, now_ms: float) -> None:
         """Note that a backend server outlived a request."""
         table = self._tables.get(request.service)
         if table is not None and table.active:
             key = self._key(request.incarnation)
             table.record_answer(fingerprint_of(request), key, now_ms)
 
-    def died(self, service: str, incarnation: Incarnation, now_ms: float) -> None:
+    def record_death(
+        self, service: str, incarnation: Incarnation, now_ms: float
+    ) -> None:
         """Note that the backend server beside this node died, and tell all nodes."""
         table = self._tables.get(service)
         if table is None:
             return
         key = self._key(incarnation)
-        updates = table.record_death(key, now_ms, self.servers(service))
+        updates = table.record_death(key, now_ms, self.count_servers(service))
         if updates:
-            self.tell(service, updates)
+            self.publish(service, updates)
 
-    def alive(self, service: str, incarnation: Incarnation) -> None:
+    def record_alive(self, service: str, incarnation: Incarnation) -> None:
         """Note that the backend server beside this node takes connections."""
         table = self._tables.get(service)
         if table is not None:
             table.record_alive(self._key(incarnation))
 
-    def learn(
+    def merge(
         self, service: str, updates: list[QuarantineUpdate], now_ms: float
     ) -> None:
         """Take in what another node saw."""
         table = self._tables.setdefault(service, Quarantine())
-        table.merge(updates, now_ms, self.servers(service))
+        table.merge(updates, now_ms, self.count_servers(service))
 
     def export(self, now_ms: float) -> list[tuple[str, list[QuarantineUpdate]]]:
         """Return all that a node which has just been met should know."""
         known = ((name, table.export(now_ms)) for name, table in self._tables.items())
         return [(name, updates) for name, updates in known if updates]
 
-    def refuses(self, request: Request, now_ms: float) -> bool:
+    def is_quarantined(self, request: Request, now_ms: float) -> bool:
         """Whether a request crashed too many backend servers to be run again."""
         table = self._tables.get(request.service)
         if table is None or not table.active or not request.whole:
--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -13,17 +13,17 @@
 from .. import events
 from ..decisions.admission import Admission, Refused, Ticket
 from ..decisions.health import Health
-from ..decisions.pressure import CallerLearner
+from ..decisions.pressure import CallerDetector
 from ..incarnation import NO_INCARNATION, Incarnation
 from ..messages import Reason, Request
 from ..runtime import Runtime
 from ..settings import Address
 from .contained import run_guarded
-from .crashes import CrashWatch
+from .crashes import CrashTracker
 from .load import LoadSummary, tick_load
 from .run import AnswerReceiver, Run
 from .state import Backend
-from .transfers import Transfer, Transfers
+from .transfers import BodyTransfer, BodyTransfers
 
 CONNECT_TIMEOUT_S = 1.0
 """A backend server on the same instance accepts within about 1 ms; this is the
@@ -53,13 +53,13 @@
     address: Address
     backend: Backend
     on_change: Callable[[], None]
-    crashes: CrashWatch
+    crashes: CrashTracker
     admission: Admission = attrs.field(factory=Admission)
     idle: IdlePool = attrs.field(factory=lambda: IdlePool(IDLE_MS))
-    transfers: Transfers = attrs.field(factory=Transfers)
+    transfers: BodyTransfers = attrs.field(factory=BodyTransfers)
     load: LoadSummary = attrs.field(factory=LoadSummary)
     health: Health = attrs.field(factory=Health)
-    callers: CallerLearner = attrs.field(factory=CallerLearner)
+    caller_detector: CallerDetector = attrs.field(factory=CallerDetector)
     unreachable: bool = False
     stopping: bool = False
     _runs: dict[Ticket, Run] = attrs.field(factory=dict)
@@ -86,10 +86,10 @@
         """Why what can't end in time is refused."""
         return Reason.STOPPING if self.stopping else Reason.TOO_LATE
 
-    def stop(self, closes_ms: float) -> None:
+    def stop(self, drain_deadline_ms: float) -> None:
         """Serve what can end by then; other nodes are told to choose others."""
         self.stopping = True
-        self.admission.closes_ms = closes_ms
+        self.admission.drain_deadline_ms = drain_deadline_ms
         self._look_soon()
 
     def submit(self, request: Request, receiver: AnswerReceiver) -> Run:
@@ -116,7 +116,9 @@
         self.admission.slots = self.backend.slots
         if request.mean_run_ms:
             self.admission.expect(request.route, request.mean_run_ms)
-        self.callers.arrived(request.route, request.priority, request.calling_service)
+        self.caller_detector.record_request(
+            request.route, request.priority, request.calling_service
+        )
         decision = self.admission.offer(run.ticket, self.now_ms())
         if isinstance(decision, Refused):
             run.refuse(Reason.STOPPING if self.stopping else Reason.OVERLOADED)
@@ -145,7 +147,7 @@
         if self._runs:
             self._look_soon()
 
-    def fetched(self, transfer: Transfer) -> None:
+    def fetched(self, transfer: BodyTransfer) -> None:
         """Pass the turn to fetch a body on."""
         self.transfers.end(transfer)
         self._look_soon()
@@ -202,10 +204,12 @@
         except OSError as error:
             self._set_unreachable(True, type(error).__name__)
             backend = self.backend
-            self.crashes.died(backend.service, backend.incarnation, self.now_ms())
+            self.crashes.record_death(
+                backend.service, backend.incarnation, self.now_ms()
+            )
             return None
         self.runtime.metrics.count("connections_opened")
-        self.crashes.alive(self.backend.service, self.backend.incarnation)
+        self.crashes.record_alive(self.backend.service, self.backend.incarnation)
         self._set_unreachable(False, "")
         return connection
 
@@ -223,7 +227,7 @@
             found=instance_id,
         )
         self.backend.mark_gone(request.incarnation)
-        self.backend.answered(instance_id, self.now_ms())
+        self.backend.confirm_instance(instance_id, self.now_ms())
         self.on_change()
 
     def ran(self, failed: bool) -> None:
@@ -242,7 +246,7 @@
         has it looked at whether it still listens. If it does, no request is blamed.
         """
         self._next_try_ms = 0.0
-        self.crashes.lost(request, self.now_ms())
+        self.crashes.record_lost(request, self.now_ms())
         if len(self._runs) == 1:
             self.runtime.spawn(self._try_again())
         if connection.used > 1 and self.now_ms() - sent_ms < FORGOTTEN_MS:
--- a/azurestep/mesh/backend/interfaces.py
+++ b/azurestep/mesh/backend/interfaces.py
@@ -6,10 +6,10 @@
 from ..decisions.admission import Admission, Ticket
 from ..messages import Answer, Failure, Reason, Refusal, Request
 from ..runtime import Runtime
-from .crashes import CrashWatch
+from .crashes import CrashTracker
 from .load import LoadSummary
 from .state import Backend
-from .transfers import Transfer, Transfers
+from .transfers import BodyTransfer, BodyTransfers
 
 
 class AnswerReceiver(Protocol):
@@ -41,8 +41,8 @@
     backend: Backend
     admission: Admission
     idle: IdlePool
-    transfers: Transfers
-    crashes: CrashWatch
+    transfers: BodyTransfers
+    crashes: CrashTracker
     load: LoadSummary
     stopping: bool
 
@@ -62,7 +62,7 @@
     def release(self, ticket: Ticket) -> None:
         """Take a run off the books; nobody is called from within."""
 
-    def fetched(self, transfer: Transfer) -> None:
+    def fetched(self, transfer: BodyTransfer) -> None:
         """Pass the turn to fetch a body on; nobody is called from within."""
 
     def ran(self, failed: bool) -> None:
--- a/azurestep/mesh/backend/probing.py
+++ b/azurestep/mesh/backend/probing.py
@@ -114,7 +114,7 @@
 
     def _is_due(self) -> bool:
         backend = self.inbound.backend
-        if backend.doubted_id:
+        if backend.conflicting_id:
             return True
         return self.restarted and not backend.instance_id and self._searches()
 
@@ -131,7 +131,7 @@
             events.BACKEND_PROBED,
             found=found.instance_id if found else "",
             known=backend.instance_id,
-            doubted=backend.doubted_id,
+            doubted=backend.conflicting_id,
         )
         if found is not None:
             self._take(found)
@@ -142,7 +142,7 @@
         if backend.discover(found.instance_id, self.service, slots):
             self.inbound.changed()
             return
-        backend.answered(found.instance_id, self.runtime.now_ms())
+        backend.confirm_instance(found.instance_id, self.runtime.now_ms())
         self.inbound.on_change()
 
     async def _ask(self) -> Found | None:
--- a/azurestep/mesh/backend/run.py
+++ b/azurestep/mesh/backend/run.py
@@ -14,7 +14,7 @@
 BUFFER_BYTES = 262_144
 """Answers up to this size are read whole before they are passed on, so that one
 that is cut short can be tried elsewhere; longer ones are streamed."""
-WINDOW_BYTES = 262_144
+FLOW_WINDOW_BYTES = 262_144
 """Bytes of a streamed body that may be on their way between two nodes."""
 FRESH_MS = 2000.0
 """Most idle time of a connection that carries a request that must not run twice:
@@ -89,7 +89,7 @@
         self._connection.send_more(framed(self.request, data, whole), whole)
         self._grant(len(data))
 
-    def go(self) -> None:
+    def proceed(self) -> None:
         """Send a held request on."""
         if self._held:
             self._held = False
@@ -115,7 +115,7 @@
         self._end()
 
     @property
-    def may_run(self) -> bool:
+    def may_have_run(self) -> bool:
         """Whether the request was sent to the backend server."""
         return self._sent_ms > 0
 
@@ -125,7 +125,7 @@
         Before its caller's deadline it is withdrawn by a node that stops. Counted as
         failures, four long runs made a sound server's failing share 0.6 at all nodes.
         """
-        if self.may_run:
+        if self.may_have_run:
             overdue = self.inbound.now_ms() >= self.deadline_ms - WAY_MS
             self.fail(Reason.TIMEOUT, blame=overdue)
         else:
@@ -134,10 +134,10 @@
     def grant(self, size: int) -> None:
         """Learn that the receiver took bytes of the answer."""
         self._unacknowledged -= size
-        if self._unacknowledged < WINDOW_BYTES and self._connection is not None:
+        if self._unacknowledged < FLOW_WINDOW_BYTES and self._connection is not None:
             self._connection.resume_reading()
 
-    def hand_over(self, receiver: AnswerReceiver) -> None:
+    def replace_receiver(self, receiver: AnswerReceiver) -> None:
         """Have another receiver hear of the outcome."""
         self.receiver = receiver
 
@@ -249,7 +249,7 @@
 
     def _pass_on(self, data: bytes, whole: bool) -> None:
         self._unacknowledged += len(data)
-        if self._unacknowledged > WINDOW_BYTES and self._connection is not None:
+        if self._unacknowledged > FLOW_WINDOW_BYTES and self._connection is not None:
             self._connection.pause_reading()
         self.receiver.on_answer_data(data, whole)
 
@@ -306,11 +306,11 @@
         run_ms = inbound.now_ms() - self._sent_ms
         if self._parts.status < FIRST_FAILURE_STATUS:
             inbound.admission.learn(self.request.route, run_ms)
-            inbound.backend.answered(
+            inbound.backend.confirm_instance(
                 self.request.instance_id.decode("latin-1"), inbound.now_ms()
             )
         inbound.runtime.metrics.run_ms.record(run_ms)
-        inbound.crashes.answered(self.request, inbound.now_ms())
+        inbound.crashes.record_answered(self.request, inbound.now_ms())
         inbound.ran(
             self._parts.status >= SERVER_ERROR and self._parts.status != GATEWAY_TIMEOUT
         )
@@ -344,7 +344,7 @@
     def refuse_if_late(self, now_ms: float) -> None:
         """Refuse a request that was not sent on and can't be answered in time."""
         in_time = self.inbound.admission.ends_in_time(self.ticket, now_ms)
-        if not (self.may_run or in_time):
+        if not (self.may_have_run or in_time):
             self.refuse(self.inbound.late_reason)
 
     # Ends.
--- a/azurestep/mesh/backend/state.py
+++ b/azurestep/mesh/backend/state.py
@@ -70,7 +70,7 @@
         As announced; the service is empty until the first heartbeat.
     instance_id : str
         Id of the incarnation that gets the requests.
-    doubted_id : str
+    conflicting_id : str
         An incarnation that announced itself at the same address while another
         one is known; a health probe decides which of them runs.
     """
@@ -79,7 +79,7 @@
     service: str = ""
     instance_id: str = ""
     slots: int = 1
-    doubted_id: str = ""
+    conflicting_id: str = ""
     _cold_until_ms: float = 0.0
     _histories: dict[str, History] = attrs.field(factory=dict)
 
@@ -93,7 +93,7 @@
         name = self.instance_id.encode("latin-1", "replace")
         return Incarnation(name, started_ms or START_UNKNOWN)
 
-    def announce(self, heartbeat: Heartbeat, now_ms: float) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> None:
         """Take a heartbeat in; a late or overtaken one changes nothing."""
         name = heartbeat.instance_id
         history = self._history(name, heartbeat.started_ms)
@@ -112,9 +112,9 @@
         elif not self.instance_id:
             self._replace(heartbeat, now_ms)
         elif not heartbeat.leaving:
-            self.doubted_id = name
+            self.conflicting_id = name
 
-    def leave(self, notice: LeavingNotice, now_ms: float) -> None:
+    def apply_leaving(self, notice: LeavingNotice, now_ms: float) -> None:
         """Take a leaving notice in."""
         history = self._history(notice.instance_id, notice.started_ms)
         if history is not None:
@@ -146,18 +146,18 @@
         self.slots = slots
         return True
 
-    def answered(self, instance_id: str, now_ms: float) -> None:
+    def confirm_instance(self, instance_id: str, now_ms: float) -> None:
         """Learn from an answer which incarnation runs at the address."""
         history = self._histories.get(instance_id)
         if not instance_id or (history is not None and history.ended):
             return
         if instance_id == self.instance_id:
-            self.doubted_id = ""
+            self.conflicting_id = ""
             return
         if self.instance_id:
             self._note_end(self.instance_id)
         self.instance_id = ""
-        self.doubted_id = ""
+        self.conflicting_id = ""
         if history is not None and history.heartbeat is not None:
             self._replace(history.heartbeat, now_ms)
 
@@ -231,7 +231,7 @@
 
     def _replace(self, heartbeat: Heartbeat, now_ms: float) -> None:
         self.instance_id = heartbeat.instance_id
-        self.doubted_id = ""
+        self.conflicting_id = ""
         self._adopt(heartbeat, now_ms)
 
     def _adopt(self, heartbeat: Heartbeat, now_ms: float) -> None:
--- a/azurestep/mesh/backend/transfers.py
+++ b/azurestep/mesh/backend/transfers.py
@@ -7,13 +7,13 @@
 
 from .contained import Faultable
 
-AT_ONCE = 2
+MAX_CONCURRENT_TRANSFERS = 2
 """Bodies that are fetched at once. One of 60 KB takes 48 ms on a link of 10 Mbit/s;
 with more of them, answers to probes would wait longer than the 200 ms after which a
 node is doubted."""
 
 
-class Transfer(Faultable, Protocol):
+class BodyTransfer(Faultable, Protocol):
     """A request whose body is fetched when its turn comes."""
 
     def ask_for_body(self) -> None:
@@ -24,34 +24,34 @@
 
 
 @attrs.define(eq=False)
-class Transfers:
+class BodyTransfers:
     """The bodies that are being fetched, and those that wait."""
 
-    _fetching: set[Transfer] = attrs.field(factory=set)
-    _waiting: deque[Transfer] = attrs.field(factory=deque)
+    _fetching: set[BodyTransfer] = attrs.field(factory=set)
+    _waiting: deque[BodyTransfer] = attrs.field(factory=deque)
 
     @property
-    def waiting(self) -> list[Transfer]:
+    def waiting(self) -> list[BodyTransfer]:
         """Requests that wait for their turn."""
         return list(self._waiting)
 
-    def begin(self, transfer: Transfer) -> bool:
+    def begin(self, transfer: BodyTransfer) -> bool:
         """Whether a body may be fetched now; if not, its turn comes later."""
-        if self._waiting or len(self._fetching) >= AT_ONCE:
+        if self._waiting or len(self._fetching) >= MAX_CONCURRENT_TRANSFERS:
             self._waiting.append(transfer)
             return False
         self._fetching.add(transfer)
         return True
 
-    def end(self, transfer: Transfer) -> None:
+    def end(self, transfer: BodyTransfer) -> None:
         """Note that a body came or is not needed."""
         self._fetching.discard(transfer)
         if transfer in self._waiting:
             self._waiting.remove(transfer)
 
-    def start_next(self) -> Transfer | None:
+    def start_next(self) -> BodyTransfer | None:
         """Give a free place to the one that waited longest, and return that."""
-        if not self._waiting or len(self._fetching) >= AT_ONCE:
+        if not self._waiting or len(self._fetching) >= MAX_CONCURRENT_TRANSFERS:
             return None
         following = self._waiting.popleft()
         self._fetching.add(following)
--- a/azurestep/mesh/callers/body.py
+++ b/azurestep/mesh/callers/body.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from ..backend.run import WINDOW_BYTES
+from ..backend.run import FLOW_WINDOW_BYTES
 
 BUFFER_BYTES = 524_288
 """Bodies up to this size are read whole before they are sent, so that a request
@@ -55,9 +55,9 @@
     def sent(self, data: bytes) -> bool:
         """Count a piece that was passed on; return whether the window is full."""
         self._unacknowledged_bytes += len(data)
-        return self._unacknowledged_bytes > WINDOW_BYTES
+        return self._unacknowledged_bytes > FLOW_WINDOW_BYTES
 
     def acknowledged(self, size_bytes: int) -> bool:
         """Take in that bytes arrived; return whether the window has room again."""
         self._unacknowledged_bytes -= size_bytes
-        return self._unacknowledged_bytes <= WINDOW_BYTES
+        return self._unacknowledged_bytes <= FLOW_WINDOW_BYTES
--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -2,8 +2,8 @@
 
 from ...http.server import Exchange
 from ...platform.headers import CallerFields
-from ..backend.crashes import RETRY_MS as CRASH_RETRY_MS
-from ..decisions.admission import RETRY_LEAST_MS
+from ..backend.crashes import QUARANTINE_RETRY_AFTER_MS
+from ..decisions.admission import MIN_RETRY_AFTER_MS
 from ..decisions.choice import Endpoint
 from ..decisions.returning import Attempt
 from ..links.interfaces import Stream
@@ -62,7 +62,10 @@
         self._writer = AnswerWriter(exchange)
         self._ending = Ending(context, exchange, self.record, self._writer)
         self._deadline = Deadline(
-            context.runtime, now_ms + remaining_ms, context.answer_by_ms, self._on_timer
+            context.runtime,
+            now_ms + remaining_ms,
+            context.drain_deadline_ms,
+            self._on_timer,
         )
         context.under_way.add(self)
 
@@ -106,13 +109,15 @@
     def _dispatch(self) -> None:
         context = self.context
         now_ms = context.runtime.now_ms()
-        endpoint = self._placement.choose(self._outgoing.wish(now_ms), now_ms)
+        endpoint = self._placement.choose(
+            self._outgoing.selection_criteria(now_ms), now_ms
+        )
         if endpoint is None:
             self._give_up()
             return
         request = self._outgoing.request(now_ms, self._deadline.ends_ms, endpoint)
-        if context.crashes.refuses(request, now_ms):
-            self._refuse(Reason.QUARANTINED, CRASH_RETRY_MS)
+        if context.crashes.is_quarantined(request, now_ms):
+            self._refuse(Reason.QUARANTINED, QUARANTINE_RETRY_AFTER_MS)
             return
         self.record.instance = endpoint.incarnation.instance_id
         self.record.asked += 1
@@ -161,7 +166,7 @@
         self._placement.exclude(endpoint)
         if stream is not None and let_go:
             self._former = FormerRun(self, stream, endpoint)
-            stream.hand_over(self._former)
+            stream.replace_receiver(self._former)
         elif stream is not None:
             stream.cancel()
         self._log_retry(Reason.LINK_LOST)
@@ -213,7 +218,7 @@
             return False
         self._forget_unsure_run()
         self._stream = former.stream
-        former.stream.hand_over(self)
+        former.stream.replace_receiver(self)
         self._placement.take(former.endpoint)
         self.record.instance = former.endpoint.incarnation.instance_id
         return True
@@ -234,7 +239,7 @@
         reason = Reason(refusal.reason)
         self._refusal = refusal
         if endpoint is not None:
-            endpoint.tell(refusal.in_flight)
+            endpoint.update_load(refusal.in_flight)
             if reason is Reason.OVERLOADED:
                 self._placement.exclude(endpoint)
             else:
@@ -281,8 +286,8 @@
         endpoint = self._placement.endpoint
         self.record.answered(answer)
         if endpoint is not None:
-            endpoint.run_ms[self.route.name] = answer.mean_run_ms
-            self.context.usual.learn(self.route.name, answer.mean_run_ms)
+            endpoint.mean_run_ms[self.route.name] = answer.mean_run_ms
+            self.context.mean_run_times.learn(self.route.name, answer.mean_run_ms)
         if self._is_error(answer) and not self._body.streamed:
             self.record.runs += 1
             self._unsure_runs += 1
@@ -290,7 +295,7 @@
                 return
         self._placement.leave()
         if endpoint is not None:
-            endpoint.tell(answer.in_flight)
+            endpoint.update_load(answer.in_flight)
         self._pass_on(answer)
 
     def _is_bettered(self, answer: Answer, endpoint: Endpoint | None) -> bool:
@@ -339,7 +344,7 @@
         self._drop_former()
         if answer.status < GOOD_BELOW:
             size_bytes = max(answer.length, len(answer.body))
-            self.context.sizes.learn(self.route.name, size_bytes)
+            self.context.answer_sizes.learn(self.route.name, size_bytes)
         if answer.whole:
             self._close(cancel=False)
             self._ending.answered(answer.status)
@@ -393,10 +398,10 @@
         self._close(cancel=True)
         self._ending.failed(reason)
 
-    def end_by(self, answer_by_ms: float) -> None:
+    def end_by(self, drain_deadline_ms: float) -> None:
         """Answer by then: this node is stopping."""
         if not self._withdrawn:
-            self._deadline.end_by(answer_by_ms)
+            self._deadline.end_by(drain_deadline_ms)
 
     def _on_timer(self) -> None:
         try:
@@ -417,11 +422,15 @@
         if self._writer.started and self._deadline.wait_for_caller():
             return
         stream = self._stream
-        if stream is not None and stream.may_run and not self._asks_whether_it_ran():
+        if (
+            stream is not None
+            and stream.may_have_run
+            and not self._asks_whether_it_ran()
+        ):
             self._withdrawn = True
             self._deadline.extend(WITHDRAWAL_MS)
             stream.withdraw()
-        elif self._writer.started or (stream is not None and stream.may_run):
+        elif self._writer.started or (stream is not None and stream.may_have_run):
             self._time_out()
         else:
             self._refuse_late()
@@ -434,7 +443,7 @@
         if self._unsure_runs:
             self._time_out()
         else:
-            self._refuse(self._late_reason(Reason.TOO_LATE), RETRY_LEAST_MS)
+            self._refuse(self._late_reason(Reason.TOO_LATE), MIN_RETRY_AFTER_MS)
 
     def _late_reason(self, reason: Reason) -> Reason:
         """Return the reason at the deadline, or that this node's stop set it."""
--- a/azurestep/mesh/callers/deadline.py
+++ b/azurestep/mesh/callers/deadline.py
@@ -15,7 +15,7 @@
         Event loop and clock.
     caller_ms : float
         Until when its caller waits, and the operators let it.
-    answer_by_ms : float
+    drain_deadline_ms : float
         When a stopping node answers; infinite while it is not stopping.
     act : Callable
         Called when the time is over.
@@ -30,13 +30,13 @@
         self,
         runtime: Runtime,
         caller_ms: float,
-        answer_by_ms: float,
+        drain_deadline_ms: float,
         act: Callable[[], None],
     ) -> None:
         self._runtime = runtime
         self._caller_ms = caller_ms
         self._act = act
-        self.ends_ms = min(caller_ms, answer_by_ms)
+        self.ends_ms = min(caller_ms, drain_deadline_ms)
         self._timer = self._call_at(self.ends_ms)
 
     @property
@@ -44,16 +44,16 @@
         """Whether the stop of this node ends the attempt before its caller would."""
         return self.ends_ms < self._caller_ms
 
-    def end_by(self, answer_by_ms: float) -> None:
+    def end_by(self, drain_deadline_ms: float) -> None:
         """Answer by then: this node is stopping.
 
         Without it, a node ended under requests that waited elsewhere for longer than it
         lived: eight of eight callers with requests of 8.5 s lost their connection.
         """
-        if answer_by_ms < self.ends_ms:
-            self.ends_ms = answer_by_ms
+        if drain_deadline_ms < self.ends_ms:
+            self.ends_ms = drain_deadline_ms
             self.cancel()
-            self._timer = self._call_at(answer_by_ms)
+            self._timer = self._call_at(drain_deadline_ms)
 
     def wait_for_caller(self) -> bool:
         """Go on to the caller's own deadline, if the stop's came before it."""
--- a/azurestep/mesh/callers/ending.py
+++ b/azurestep/mesh/callers/ending.py
@@ -33,7 +33,7 @@
         runtime.metrics.call_ms.record(now_ms - record.arrived_ms)
         runtime.metrics.count("calls", "good" if status < GOOD_BELOW else "error")
         if status >= GOOD_BELOW:
-            self.context.returning.remember(record.attempt)
+            self.context.returning_callers.add(record.attempt)
         record.log_end(status, now_ms)
 
     def refused(self, reason: Reason, retry_after_ms: float) -> None:
@@ -42,8 +42,8 @@
         record.log_refused(UNAVAILABLE, reason, runtime.now_ms())
         runtime.metrics.count("calls", "refused")
         if reason in NO_ROOM:
-            self.context.refusals.refused(record.route.name)
-        self.context.returning.remember(record.attempt)
+            self.context.refusals.record_refused(record.route.name)
+        self.context.returning_callers.add(record.attempt)
         answer_refused(runtime, self.exchange, record.request_id, retry_after_ms)
 
     def failed(self, reason: Reason, status: int = BAD_GATEWAY) -> None:
@@ -80,4 +80,4 @@
         self.record.log_failed(shown, reason, runtime.now_ms())
         timed_out = status == GATEWAY_TIMEOUT
         runtime.metrics.count("calls", "timeout" if timed_out else "failed")
-        self.context.returning.remember(self.record.attempt)
+        self.context.returning_callers.add(self.record.attempt)
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -8,7 +8,7 @@
 from ...platform.headers import read_caller
 from ...routing.table import RoutingTable
 from .. import events
-from ..decisions.pressure import PressureView
+from ..decisions.pressure import LoadShedder
 from ..messages import Reason
 from ..runtime import Runtime
 from .call import Call
@@ -38,7 +38,7 @@
     context: CallContext
     table: Callable[[], RoutingTable | None]
     closed: bool = False
-    pressure: PressureView = attrs.field(factory=PressureView)
+    load_shedder: LoadShedder = attrs.field(factory=LoadShedder)
 
     def handle(self, exchange: Exchange) -> None:
         """Take a request whose head was read."""
@@ -67,14 +67,14 @@
                 Reason.PRESSURE,
                 route.name,
             )
-            context.returning.remember(attempt)
+            context.returning_callers.add(attempt)
             return
         context.offered(route, service)
         target = Target(route, service, table.version)
         exchange.sink = Call(context, exchange, caller, target, attempt)
 
     def _sheds(self, service: str, priority: int) -> bool:
-        share = self.pressure.share(service, priority)
+        share = self.load_shedder.shed_ratio(service, priority)
         return share > 0 and self.context.runtime.random.random() < share
 
 
--- a/azurestep/mesh/callers/outgoing.py
+++ b/azurestep/mesh/callers/outgoing.py
@@ -4,7 +4,7 @@
 
 from ...http.server import Exchange
 from ...platform.headers import CallerFields
-from ..decisions.choice import Endpoint, Wish
+from ..decisions.choice import Endpoint, SelectionCriteria
 from ..messages import Request
 from .body import BULK_BYTES, RequestBody
 from .context import CallContext
@@ -21,14 +21,14 @@
     record: CallRecord
     body: RequestBody
 
-    def wish(self, now_ms: float) -> Wish:
+    def selection_criteria(self, now_ms: float) -> SelectionCriteria:
         """Return what the backend server is chosen by."""
         context, route = self.context, self.record.route.name
-        return Wish(
+        return SelectionCriteria(
             self.record.service,
             route,
             self.record.objective_ms(now_ms),
-            context.usual.get(route),
+            context.mean_run_times.get(route),
             self._size_kib(),
             context.members.data_centre,
         )
@@ -56,7 +56,7 @@
             body.whole and not bulk,
             b"" if bulk else body.content(),
             endpoint.incarnation.started_ms,
-            self.context.usual.known(route.name),
+            self.context.mean_run_times.get_or_zero(route.name),
             needs_confirmation=not body.streamed and (bulk or not self.is_movable()),
         )
 
@@ -68,7 +68,7 @@
         links of 7.5 Mbit/s, a day of high load was worth 0.14 so, 0.36 with downloads
         that wait. They are run again after a failure that is certain.
         """
-        answer_bytes = self.context.sizes.kib(self.record.route.name) * 1024
+        answer_bytes = self.context.answer_sizes.mean_kib(self.record.route.name) * 1024
         return self.record.route.idempotent and answer_bytes <= BULK_BYTES
 
     def sends_later(self, endpoint: Endpoint) -> bool:
@@ -78,4 +78,7 @@
     def _size_kib(self) -> float:
         """Return the size of the request's body and its likely answer."""
         body_bytes = max(self.body.size_bytes, self.exchange.length)
-        return self.context.sizes.kib(self.record.route.name) + body_bytes / 1024
+        return (
+            self.context.answer_sizes.mean_kib(self.record.route.name)
+            + body_bytes / 1024
+        )
--- a/azurestep/mesh/callers/placement.py
+++ b/azurestep/mesh/callers/placement.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from ..decisions.choice import Endpoint, Wish, choose
+from ..decisions.choice import Endpoint, SelectionCriteria, choose_endpoint
 from .context import CallContext
 
 FAILED_MS = 400.0
@@ -24,11 +24,11 @@
     endpoint: Endpoint | None = None
     _excluded: set[object] = attrs.field(factory=set)
 
-    def choose(self, wish: Wish, now_ms: float) -> Endpoint | None:
+    def choose(self, criteria: SelectionCriteria, now_ms: float) -> Endpoint | None:
         """Return a backend server that was not asked yet; None if there is none."""
-        return choose(
+        return choose_endpoint(
             self.context.members.endpoints(self.service),
-            wish,
+            criteria,
             self._excluded,
             now_ms,
             self.context.runtime.random,
@@ -37,13 +37,13 @@
     def take(self, endpoint: Endpoint) -> None:
         """Ask a backend server."""
         self.endpoint = endpoint
-        endpoint.mine += 1
+        endpoint.own_in_flight += 1
 
     def leave(self) -> Endpoint | None:
         """Ask it no longer; return it, if one was asked."""
         endpoint, self.endpoint = self.endpoint, None
         if endpoint is not None:
-            endpoint.mine -= 1
+            endpoint.own_in_flight -= 1
         return endpoint
 
     def exclude(self, endpoint: Endpoint) -> None:
@@ -58,7 +58,7 @@
     def has_other(self) -> bool:
         """Whether a backend server is left that is open and not in doubt."""
         return any(
-            other.open and not other.doubted and other.key not in self._excluded
+            other.open and not other.unresponsive and other.key not in self._excluded
             for other in self.context.members.endpoints(self.service)
             if other is not self.endpoint
         )
--- a/azurestep/mesh/callers/record.py
+++ b/azurestep/mesh/callers/record.py
@@ -40,7 +40,7 @@
 
     def objective_ms(self, now_ms: float) -> float:
         """Return the time until the answer loses value, negative once it has."""
-        return self.route.objective_ms - (now_ms - self.attempt.first_ms)
+        return self.route.objective_ms - (now_ms - self.attempt.first_attempt_ms)
 
     def answered(self, answer: Answer) -> None:
         """Take in what an answer tells of its way."""
@@ -87,7 +87,7 @@
             "runs": self.runs,
             "after_ms": round(now_ms - self.arrived_ms),
             "left_ms": round(self.objective_ms(now_ms)),
-            "returned": self.attempt.returned,
+            "returned": self.attempt.is_retry,
             "waited_ms": round(self.waited_ms),
             "ran_ms": round(self.ran_ms),
         }
--- a/azurestep/mesh/decisions/admission.py
+++ b/azurestep/mesh/decisions/admission.py
@@ -13,7 +13,7 @@
 of the workloads that were measured (16 to 360 ms)."""
 RUN_GAIN = 0.1
 """Weight of a new run time in the moving mean: about the last twenty runs."""
-RETRY_LEAST_MS = 40.0
+MIN_RETRY_AFTER_MS = 40.0
 """Shortest time after which a refused caller is asked to come back."""
 
 
@@ -23,17 +23,17 @@
 
     Attributes
     ----------
-    objective_at_ms : float
+    objective_deadline_ms : float
         When an answer loses its full value.
-    deadline_at_ms : float
+    deadline_ms : float
         When nobody waits for an answer any more.
     """
 
     route: str
     priority: int
     arrived_ms: float
-    objective_at_ms: float
-    deadline_at_ms: float
+    objective_deadline_ms: float
+    deadline_ms: float
     owner: object = None
 
 
@@ -54,13 +54,13 @@
         Requests that the backend server runs at once.
     running : set of Ticket
         Requests that hold a slot.
-    closes_ms : float
+    drain_deadline_ms : float
         When the node beside the backend server ends; a time only once it is stopping.
     """
 
     slots: int = 1
     running: set[Ticket] = attrs.field(factory=set)
-    closes_ms: float = math.inf
+    drain_deadline_ms: float = math.inf
     _waiting: list[Ticket] = attrs.field(factory=list)
     _run_ms: dict[str, float] = attrs.field(factory=dict)
     _usual_ms: dict[str, float] = attrs.field(factory=dict)
@@ -111,13 +111,13 @@
             True if it runs now, False if it waits, or the refusal.
         """
         end_ms = now_ms + self.run_ms(ticket.route)
-        if end_ms > self.closes_ms:
+        if end_ms > self.drain_deadline_ms:
             return Refused(self.retry_after_ms())
         if len(self.running) < self.slots and not self._waiting:
             self.running.add(ticket)
             return True
         end_ms += self._wait_ms(ticket, now_ms)
-        if end_ms > min(self.due_ms(ticket), ticket.objective_at_ms):
+        if end_ms > min(self.due_ms(ticket), ticket.objective_deadline_ms):
             return Refused(self.retry_after_ms())
         self._waiting.append(ticket)
         return False
@@ -145,7 +145,7 @@
         waited for the 5.6 s of the node's end, and had their runs cut by it. Who leaves
         is no work ahead of those that stay.
         """
-        if self.closes_ms == math.inf:
+        if self.drain_deadline_ms == math.inf:
             return [one for one in self._waiting if not self.ends_in_time(one, now_ms)]
         late: list[Ticket] = []
         turn_ms = now_ms + self._turn_ms(0.0)
@@ -158,7 +158,7 @@
 
     def due_ms(self, ticket: Ticket) -> float:
         """Return when a run must have ended, for its caller and for the node here."""
-        return min(ticket.deadline_at_ms, self.closes_ms)
+        return min(ticket.deadline_ms, self.drain_deadline_ms)
 
     def ends_in_time(self, ticket: Ticket, now_ms: float) -> bool:
         """Whether a request that runs from now on is likely to end when it must."""
@@ -167,7 +167,7 @@
     def retry_after_ms(self) -> float:
         """Return after which time a slot is likely for a caller who comes back."""
         work_ms = sum(self.run_ms(ticket.route) for ticket in self._waiting)
-        return RETRY_LEAST_MS + work_ms / self.slots
+        return MIN_RETRY_AFTER_MS + work_ms / self.slots
 
     def _wait_ms(self, ticket: Ticket, now_ms: float) -> float:
         """Return how long a new request would wait."""
@@ -188,5 +188,5 @@
         59% of a service's runs ended badly while its calls stood in line. What is
         late goes last: when it kept its place, a hard day's credit was 0.55, not 0.69.
         """
-        late = now_ms + self.run_ms(ticket.route) > ticket.objective_at_ms
-        return late, ticket.priority, ticket.objective_at_ms
+        late = now_ms + self.run_ms(ticket.route) > ticket.objective_deadline_ms
+        return late, ticket.priority, ticket.objective_deadline_ms
--- a/azurestep/mesh/decisions/cadence.py
+++ b/azurestep/mesh/decisions/cadence.py
@@ -11,25 +11,25 @@
 
 IDLE_PROBES_PER_S = 30.0
 """Probes of idle links that a node sends: the pace of 0.4 s at 12 links."""
-IDLE_PROBE_LEAST_MS = 400.0
+MIN_IDLE_PROBE_INTERVAL_MS = 400.0
 """Shortest time between two probes of an idle link."""
-NEAR_REPORTS_PER_S = 80.0
+LOCAL_REPORTS_PER_S = 80.0
 """Load reports to the nodes of the own data centre, where most requests stay."""
-FAR_REPORTS_PER_S = 20.0
+REMOTE_REPORTS_PER_S = 20.0
 """Load reports to other data centres; these bytes are priced."""
 REPORT_LEAST_MS = 200.0
 """Shortest time between two load reports; a look at the load comes each 0.2 s."""
 
 
-def idle_probe_ms(links: int) -> float:
+def idle_probe_interval_ms(links: int) -> float:
     """Return the time between two probes of an idle link.
 
     Examples
     --------
-    >>> idle_probe_ms(12), idle_probe_ms(72)
+    >>> idle_probe_interval_ms(12), idle_probe_interval_ms(72)
     (400.0, 2400.0)
     """
-    return max(IDLE_PROBE_LEAST_MS, links * 1000 / IDLE_PROBES_PER_S)
+    return max(MIN_IDLE_PROBE_INTERVAL_MS, links * 1000 / IDLE_PROBES_PER_S)
 
 
 def report_ms(links: int, per_s: float) -> float:
@@ -38,7 +38,7 @@
 
 
 @attrs.define(slots=True)
-class ReportPace:
+class ReportPacer:
     """When load reports to a group of nodes are due.
 
     Attributes
@@ -57,10 +57,10 @@
             return False
         if now_ms - self._told_ms < report_ms(links, self.per_s):
             return False
-        self.sent(report, now_ms)
+        self.mark_sent(report, now_ms)
         return True
 
-    def sent(self, report: bytes, now_ms: float) -> None:
+    def mark_sent(self, report: bytes, now_ms: float) -> None:
         """Note that a report was sent out of turn."""
         self._told = report
         self._told_ms = now_ms
--- a/azurestep/mesh/decisions/choice.py
+++ b/azurestep/mesh/decisions/choice.py
@@ -46,7 +46,7 @@
         Whether it takes new requests.
     in_flight : int
         Requests that ran or waited there when its node last told.
-    mine, mine_told : int
+    own_in_flight, own_in_flight_at_report : int
         This node's requests there now, and when that was told.
     cold_until_ms : float
         Until when it is slow after its start.
@@ -54,7 +54,7 @@
         Until when it is chosen only without another.
     failure_ratio : float
         Share of its runs that failed of late, from 0 to 1.
-    doubted : bool
+    unresponsive : bool
         Whether its node owes an answer to a probe; the same holds.
     """
 
@@ -65,27 +65,30 @@
     open: bool = True
     slots: int = 1
     in_flight: int = 0
-    mine: int = 0
-    mine_told: int = 0
+    own_in_flight: int = 0
+    own_in_flight_at_report: int = 0
     cold_until_ms: float = 0.0
-    run_ms: dict[str, float] = attrs.field(factory=dict)
+    mean_run_ms: dict[str, float] = attrs.field(factory=dict)
     failed_until_ms: float = 0.0
     failure_ratio: float = 0.0
-    doubted: bool = False
+    unresponsive: bool = False
 
     @property
     def load(self) -> float:
         """Requests that are likely to run or wait there now."""
-        return max(self.mine, self.in_flight - self.mine_told + self.mine)
+        return max(
+            self.own_in_flight,
+            self.in_flight - self.own_in_flight_at_report + self.own_in_flight,
+        )
 
-    def tell(self, in_flight: int) -> None:
+    def update_load(self, in_flight: int) -> None:
         """Take news of the requests there in."""
         self.in_flight = in_flight
-        self.mine_told = self.mine
+        self.own_in_flight_at_report = self.own_in_flight
 
 
 @attrs.frozen(slots=True)
-class Wish:
+class SelectionCriteria:
     """What is asked of a backend server.
 
     Attributes
@@ -109,7 +112,7 @@
 
 
 @attrs.define(slots=True)
-class UsualTimes:
+class MeanRunTimes:
     """Mean run time of each route over all backend servers, as far as answers tell.
 
     A backend server that was not asked yet counts as usual: with a fixed first guess
@@ -118,11 +121,11 @@
 
     Examples
     --------
-    >>> usual = UsualTimes()
-    >>> usual.get("read")
+    >>> mean_run_times = MeanRunTimes()
+    >>> mean_run_times.get("read")
     150.0
-    >>> usual.learn("read", 400.0)
-    >>> usual.get("read")
+    >>> mean_run_times.learn("read", 400.0)
+    >>> mean_run_times.get("read")
     400.0
     """
 
@@ -132,7 +135,7 @@
         """Return the mean of a route."""
         return self._mean_ms.get(route, RUN_FIRST_MS)
 
-    def known(self, route: str) -> float:
+    def get_or_zero(self, route: str) -> float:
         """Return the mean of a route, or 0 before the first answer."""
         return self._mean_ms.get(route, 0.0)
 
@@ -142,9 +145,9 @@
         self._mean_ms[route] = known + RUN_GAIN * (run_ms - known)
 
 
-def choose(
+def choose_endpoint(
     endpoints: Iterable[Endpoint],
-    wish: Wish,
+    criteria: SelectionCriteria,
     excluded: set[object],
     now_ms: float,
     random: Random,
@@ -153,8 +156,8 @@
     best = None
     best_value = 0.0
     usable = [one for one in endpoints if one.open and one.key not in excluded]
-    for endpoint in _sample(usable, wish.data_centre, random):
-        value = _value(endpoint, wish, now_ms) + random.random() * TIE
+    for endpoint in _sample(usable, criteria.data_centre, random):
+        value = _value(endpoint, criteria, now_ms) + random.random() * TIE
         if best is None or value > best_value:
             best, best_value = endpoint, value
     return best
@@ -175,18 +178,18 @@
     return chosen + random.sample(far, min(FAR_SAMPLE, len(far)))
 
 
-def _value(endpoint: Endpoint, wish: Wish, now_ms: float) -> float:
-    run_ms = endpoint.run_ms.get(wish.route, wish.mean_run_ms)
+def _value(endpoint: Endpoint, criteria: SelectionCriteria, now_ms: float) -> float:
+    run_ms = endpoint.mean_run_ms.get(criteria.route, criteria.mean_run_ms)
     if now_ms < endpoint.cold_until_ms:
         run_ms *= COLD_FACTOR
     load = endpoint.load
     wait_ms = max(0.0, load + 1 - endpoint.slots) / endpoint.slots * run_ms
-    objective_ms = max(wish.objective_ms, 1.0)
+    objective_ms = max(criteria.objective_ms, 1.0)
     value = 1.0 / (1.0 + ((wait_ms + run_ms) / objective_ms) ** OBJECTIVE_STEEPNESS)
     value -= FAILURE_COST * endpoint.failure_ratio
     value -= BALANCE_WEIGHT * (load / endpoint.slots) ** 2
-    if now_ms < endpoint.failed_until_ms or endpoint.doubted:
+    if now_ms < endpoint.failed_until_ms or endpoint.unresponsive:
         value -= 1.0
-    if endpoint.data_centre != wish.data_centre:
-        value -= ABROAD_COST * wish.size_kib
+    if endpoint.data_centre != criteria.data_centre:
+        value -= ABROAD_COST * criteria.size_kib
     return value
--- a/azurestep/mesh/decisions/pressure.py
+++ b/azurestep/mesh/decisions/pressure.py
@@ -39,14 +39,14 @@
 """Service, priority, and the share of a route's requests that was refused."""
 
 
-class CallerLearner:
+class CallerDetector:
     """Learns which services call the one beside this node."""
 
     def __init__(self) -> None:
         self._origins: dict[str, dict[bytes, int]] = {}
         self._callers: dict[str, Caller] = {}
 
-    def arrived(self, route: str, priority: int, calling_service: bytes) -> None:
+    def record_request(self, route: str, priority: int, calling_service: bytes) -> None:
         """Count a request that arrived."""
         origins = self._origins.setdefault(route, {})
         origins[calling_service] = origins.get(calling_service, 0) + 1
@@ -95,14 +95,14 @@
     def __init__(self) -> None:
         self._counts: dict[str, Counts] = {}
 
-    def offered(self, route: str, service: str, priority: int) -> None:
+    def record_offered(self, route: str, service: str, priority: int) -> None:
         """Count a request that is sent to a service."""
         counts = self._counts.get(route)
         if counts is None or counts.service != service:
             counts = self._counts[route] = Counts(service, priority)
         counts.offered += 1
 
-    def refused(self, route: str) -> None:
+    def record_refused(self, route: str) -> None:
         """Count a request for which no backend server had room."""
         counts = self._counts.get(route)
         if counts is not None:
@@ -123,7 +123,7 @@
 
 
 @attrs.frozen(slots=True)
-class Report:
+class PressureReport:
     """What one node says: its service, who calls it, what the node refuses."""
 
     service: str
@@ -131,24 +131,26 @@
     refusals: tuple[Refusals, ...]
 
 
-class PressureView:
+class LoadShedder:
     """What a node sheds, by the reports of all nodes.
 
     Examples
     --------
-    >>> view = PressureView()
+    >>> view = LoadShedder()
     >>> view.update([
-    ...     Report("books", (("shop", 1),), (("books", 1, 0.4),)),
-    ...     Report("shop", (), ()),
+    ...     PressureReport("books", (("shop", 1),), (("books", 1, 0.4),)),
+    ...     PressureReport("shop", (), ()),
     ... ])
-    >>> view.share("shop", 2), view.share("shop", 1), view.share("books", 2)
-    (0.2, 0.0, 0.0)
+    >>> view.shed_ratio("shop", 2), view.shed_ratio("shop", 1)
+    (0.2, 0.0)
+    >>> view.shed_ratio("books", 2)
+    0.0
     """
 
     def __init__(self) -> None:
         self._shed: dict[str, list[tuple[int, float]]] = {}
 
-    def update(self, reports: Iterable[Report]) -> None:
+    def update(self, reports: Iterable[PressureReport]) -> None:
         """Take the newest reports of all nodes."""
         told = list(reports)
         means: dict[tuple[str, int], float] = {}
@@ -165,7 +167,7 @@
                 )
                 self._shed.setdefault(caller, []).append((spared, share))
 
-    def share(self, service: str, priority: int) -> float:
+    def shed_ratio(self, service: str, priority: int) -> float:
         """Return the share of a service's requests of a priority to refuse."""
         told = self._shed.get(service)
         if not told:
@@ -174,7 +176,7 @@
         return min(SHED_MOST, max(shares, default=0.0))
 
 
-def _edges(reports: list[Report]) -> Iterator[tuple[str, str, int]]:
+def _edges(reports: list[PressureReport]) -> Iterator[tuple[str, str, int]]:
     for report in reports:
         for caller, priority in report.callers:
             yield report.service, caller, priority
--- a/azurestep/mesh/decisions/returning.py
+++ b/azurestep/mesh/decisions/returning.py
@@ -6,7 +6,7 @@
 high load 12,000 were late and 22,000 in time.
 
 A caller's deadline stays where it is in time when it asks again, so an attempt is told
-by its place and that moment. Nothing is assumed of how long callers wait. An attempt
+by its key and that moment. Nothing is assumed of how long callers wait. An attempt
 that comes to another node than the former one counts as new.
 """
 
@@ -27,20 +27,20 @@
 
     Attributes
     ----------
-    place : tuple of bytes
+    request_key : tuple of bytes
         Method, host and target of the request.
-    first_ms : float
+    first_attempt_ms : float
         When the caller first asked, as far as it is known.
-    deadline_at_ms : float
+    deadline_ms : float
         When the caller gives up.
-    returned : bool
+    is_retry : bool
         Whether the caller is known to have asked before.
     """
 
-    place: tuple[bytes, ...]
-    first_ms: float
-    deadline_at_ms: float
-    returned: bool = False
+    request_key: tuple[bytes, ...]
+    first_attempt_ms: float
+    deadline_ms: float
+    is_retry: bool = False
 
 
 @attrs.define(slots=True)
@@ -50,49 +50,49 @@
     Examples
     --------
     >>> returning = ReturningCallers()
-    >>> place = (b"GET", b"shop.example", b"/read/1")
-    >>> returning.remember(Attempt(place, 0.0, 1200.0))
-    >>> returning.first_ms(place, 100.0, 1203.0)
+    >>> request_key = (b"GET", b"shop.example", b"/read/1")
+    >>> returning.add(Attempt(request_key, 0.0, 1200.0))
+    >>> returning.first_attempt_ms(request_key, 100.0, 1203.0)
     0.0
-    >>> returning.first_ms(place, 100.0, 1300.0)
+    >>> returning.first_attempt_ms(request_key, 100.0, 1300.0)
     100.0
     """
 
     _open: dict[tuple[bytes, ...], list[Attempt]] = attrs.field(factory=dict)
     _count: int = 0
 
-    def remember(self, attempt: Attempt) -> None:
+    def add(self, attempt: Attempt) -> None:
         """Take in an attempt that ended without success."""
         if self._count < REMEMBERED_MOST:
-            self._open.setdefault(attempt.place, []).append(attempt)
+            self._open.setdefault(attempt.request_key, []).append(attempt)
             self._count += 1
 
-    def first_ms(
-        self, place: tuple[bytes, ...], now_ms: float, deadline_at_ms: float
+    def first_attempt_ms(
+        self, request_key: tuple[bytes, ...], now_ms: float, deadline_ms: float
     ) -> float:
         """Return when the caller of an attempt that arrives now first asked."""
-        attempts = self._open.get(place)
+        attempts = self._open.get(request_key)
         if attempts is None:
             return now_ms
         for index, attempt in enumerate(attempts):
-            if abs(attempt.deadline_at_ms - deadline_at_ms) <= SAME_DEADLINE_MS:
-                self._take(place, index)
-                return attempt.first_ms
+            if abs(attempt.deadline_ms - deadline_ms) <= SAME_DEADLINE_MS:
+                self._take(request_key, index)
+                return attempt.first_attempt_ms
         return now_ms
 
-    def forget(self, now_ms: float) -> None:
+    def expire(self, now_ms: float) -> None:
         """Forget attempts whose caller has given up."""
-        for place, attempts in list(self._open.items()):
-            kept = [one for one in attempts if one.deadline_at_ms > now_ms]
+        for request_key, attempts in list(self._open.items()):
+            kept = [one for one in attempts if one.deadline_ms > now_ms]
             self._count -= len(attempts) - len(kept)
             if kept:
-                self._open[place] = kept
+                self._open[request_key] = kept
             else:
-                del self._open[place]
+                del self._open[request_key]
 
-    def _take(self, place: tuple[bytes, ...], index: int) -> None:
-        attempts = self._open[place]
+    def _take(self, request_key: tuple[bytes, ...], index: int) -> None:
+        attempts = self._open[request_key]
         del attempts[index]
         self._count -= 1
         if not attempts:
-            del self._open[place]
+            del self._open[request_key]
--- a/azurestep/mesh/decisions/sizes.py
+++ b/azurestep/mesh/decisions/sizes.py
@@ -24,13 +24,13 @@
     --------
     >>> sizes = AnswerSizes()
     >>> sizes.learn("download", 102_400)
-    >>> sizes.kib("download"), sizes.kib("read")
+    >>> sizes.mean_kib("download"), sizes.mean_kib("read")
     (100.0, 1.5)
     """
 
     _mean_kib: dict[str, float] = attrs.field(factory=dict)
 
-    def kib(self, route: str) -> float:
+    def mean_kib(self, route: str) -> float:
         """Return the mean of a route."""
         return self._mean_kib.get(route, SIZE_FIRST_KIB)
 
--- a/azurestep/mesh/decisions/stopping.py
+++ b/azurestep/mesh/decisions/stopping.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class StopPlan:
+class ShutdownPlan:
     """The times of one orderly stop.
 
     Attributes
@@ -33,8 +33,8 @@
 
     Examples
     --------
-    >>> plan = StopPlan(1000.0, 6000.0)
-    >>> plan.refuses_from_ms, plan.answer_by_ms, plan.ends_ms
+    >>> plan = ShutdownPlan(1000.0, 6000.0)
+    >>> plan.refuse_from_ms, plan.drain_deadline_ms, plan.exit_deadline_ms
     (3300.0, 6300.0, 6600.0)
     """
 
@@ -42,18 +42,18 @@
     grace_ms: float
 
     @property
-    def refuses_from_ms(self) -> float:
+    def refuse_from_ms(self) -> float:
         """When new requests begin to be refused."""
-        return min(self.since_ms + LINGER_MS, self.answer_by_ms)
+        return min(self.since_ms + LINGER_MS, self.drain_deadline_ms)
 
     @property
-    def answer_by_ms(self) -> float:
+    def drain_deadline_ms(self) -> float:
         """When what is still unanswered gets an answer of the node's own."""
-        latest_ms = self.ends_ms - ANSWER_MARGIN_MS
+        latest_ms = self.exit_deadline_ms - ANSWER_MARGIN_MS
         run_until_ms = self.since_ms + self.grace_ms * RUN_SHARE
-        return min(max(latest_ms, run_until_ms), self.ends_ms)
+        return min(max(latest_ms, run_until_ms), self.exit_deadline_ms)
 
     @property
-    def ends_ms(self) -> float:
+    def exit_deadline_ms(self) -> float:
         """When the node ends at the latest."""
         return self.since_ms + max(0.0, self.grace_ms - END_MARGIN_MS)
--- a/azurestep/mesh/endpoints.py
+++ b/azurestep/mesh/endpoints.py
@@ -63,9 +63,9 @@
         before = (backend.incarnation, backend.is_leaving())
         now_ms = runtime.now_ms()
         if isinstance(notice, Heartbeat):
-            backend.announce(notice, now_ms)
+            backend.apply_heartbeat(notice, now_ms)
         else:
-            backend.leave(notice, now_ms)
+            backend.apply_leaving(notice, now_ms)
         exchange.answer(200, JSON, b"{}")
         if (backend.incarnation, backend.is_leaving()) != before:
             _log_change(backend)
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -85,7 +85,7 @@
             self.connection.close_if_done()
 
     @property
-    def may_run(self) -> bool:
+    def may_have_run(self) -> bool:
         """Whether the request may have run, or may run yet."""
         return self.let_go
 
@@ -97,7 +97,7 @@
         """Take more of the answer."""
         self.connection.send(Kind.CREDIT, self.number, size)
 
-    def hand_over(self, receiver: CallReceiver) -> None:
+    def replace_receiver(self, receiver: CallReceiver) -> None:
         """Have another receiver hear of the outcome."""
         self.receiver = receiver
 
--- a/azurestep/mesh/links/interfaces.py
+++ b/azurestep/mesh/links/interfaces.py
@@ -14,7 +14,7 @@
         """Send more of the body."""
 
     @property
-    def may_run(self) -> bool:
+    def may_have_run(self) -> bool:
         """Whether the request may have run, or may run yet."""
 
     def cancel(self) -> None:
@@ -26,7 +26,7 @@
     def grant(self, size: int) -> None:
         """Take more of the answer."""
 
-    def hand_over(self, receiver: "CallReceiver") -> None:
+    def replace_receiver(self, receiver: "CallReceiver") -> None:
         """Have another receiver hear of the outcome."""
 
 
--- a/azurestep/mesh/links/link.py
+++ b/azurestep/mesh/links/link.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from ..decisions.cadence import IDLE_PROBE_LEAST_MS
+from ..decisions.cadence import MIN_IDLE_PROBE_INTERVAL_MS
 from ..decisions.choice import Endpoint
 from ..incarnation import NO_INCARNATION, Incarnation
 from ..messages import Hello, Kind, Request, State
@@ -50,7 +50,7 @@
         Whether the node answers.
     endpoint : Endpoint
         The backend server beside that node.
-    idle_probe_ms : float
+    idle_probe_interval_ms : float
         Time between probes while no request is under way.
     """
 
@@ -63,7 +63,7 @@
     state: State | None = None
     peer: Hello | None = None
     lost_since_ms: float = 0.0
-    idle_probe_ms: float = IDLE_PROBE_LEAST_MS
+    idle_probe_interval_ms: float = MIN_IDLE_PROBE_INTERVAL_MS
     _dialing: bool = False
     _attempts: int = 0
     _next_dial_ms: float = 0.0
@@ -93,16 +93,18 @@
             return
         waited_ms = now_ms - connection.pinged_ms
         answered = connection.answered
-        doubted = not answered and waited_ms > DOUBT_MS
-        if doubted and not self.endpoint.doubted:
-            self.endpoint.doubted = True
+        unresponsive = not answered and waited_ms > DOUBT_MS
+        if unresponsive and not self.endpoint.unresponsive:
+            self.endpoint.unresponsive = True
             connection.doubt()
-        self.endpoint.doubted = doubted
+        self.endpoint.unresponsive = unresponsive
         if not answered and waited_ms > LOST_MS:
             self._lose(connection, "silent")
             connection.retire()
         elif answered:
-            pause_ms = BUSY_PING_MS if connection.streams else self.idle_probe_ms
+            pause_ms = (
+                BUSY_PING_MS if connection.streams else self.idle_probe_interval_ms
+            )
             if waited_ms >= pause_ms:
                 connection.ping()
 
@@ -146,7 +148,7 @@
         endpoint = self.endpoint
         incarnation = Incarnation(state.instance_id, state.server_started_ms)
         if not endpoint.incarnation.matches(incarnation):
-            endpoint.run_ms.clear()
+            endpoint.mean_run_ms.clear()
             endpoint.failed_until_ms = 0.0
         endpoint.service = state.service
         endpoint.incarnation = incarnation
@@ -154,7 +156,7 @@
         endpoint.slots = state.slots
         endpoint.failure_ratio = state.failure_ratio
         endpoint.cold_until_ms = self.runtime.now_ms() + state.cold_remaining_ms
-        endpoint.tell(state.in_flight)
+        endpoint.update_load(state.in_flight)
         if former is None or _matters(former) != _matters(state):
             self.news.on_state(self, state)
 
--- a/azurestep/mesh/links/members.py
+++ b/azurestep/mesh/links/members.py
@@ -11,7 +11,7 @@
 from ...quarantine import QuarantineUpdate
 from .. import events
 from ..backend.inbound import Inbound
-from ..decisions.cadence import idle_probe_ms
+from ..decisions.cadence import idle_probe_interval_ms
 from ..decisions.choice import Endpoint
 from ..incarnation import NO_INCARNATION
 from ..messages import Hello, Request, State
@@ -103,13 +103,13 @@
 
     def tick(self, now_ms: float) -> None:
         """Look after all links."""
-        pause_ms = idle_probe_ms(len(self.links))
+        pause_ms = idle_probe_interval_ms(len(self.links))
         for link in list(self.links.values()):
             if not link.up and now_ms - link.lost_since_ms > FORGET_MS:
                 link.close()
                 del self.links[link.address]
                 continue
-            link.idle_probe_ms = pause_ms
+            link.idle_probe_interval_ms = pause_ms
             self.runtime.run_guarded("tick", link.tick, now_ms)
         self._count = 1 + sum(1 for _ in self.alive())
 
@@ -151,7 +151,7 @@
 
     def on_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
         """Take in which requests were under way as backend servers died."""
-        self.inbound.crashes.learn(service, updates, self.runtime.now_ms())
+        self.inbound.crashes.merge(service, updates, self.runtime.now_ms())
 
     def _refreshed(self) -> Endpoint:
         own, inbound = self._own, self.inbound
@@ -162,7 +162,7 @@
         own.slots = backend.slots
         own.failure_ratio = inbound.health.failure_ratio
         own.in_flight = inbound.admission.in_flight
-        own.mine_told = own.mine
+        own.own_in_flight_at_report = own.own_in_flight
         own.cold_until_ms = self.runtime.now_ms() + backend.cold_remaining_ms(
             self.runtime.now_ms()
         )
--- a/azurestep/mesh/links/server.py
+++ b/azurestep/mesh/links/server.py
@@ -11,7 +11,7 @@
 from ..backend.crashes import encode_updates
 from ..backend.inbound import Inbound
 from ..backend.run import Run
-from ..decisions.cadence import FAR_REPORTS_PER_S, NEAR_REPORTS_PER_S, ReportPace
+from ..decisions.cadence import LOCAL_REPORTS_PER_S, REMOTE_REPORTS_PER_S, ReportPacer
 from ..link_messages import (
     Body,
     Cancel,
@@ -72,8 +72,8 @@
     data_centre: str
     servers: "set[PeerServer]" = attrs.field(factory=set)
     _urgent: tuple[object, ...] = ()
-    _near: ReportPace = attrs.field(factory=lambda: ReportPace(NEAR_REPORTS_PER_S))
-    _far: ReportPace = attrs.field(factory=lambda: ReportPace(FAR_REPORTS_PER_S))
+    _near: ReportPacer = attrs.field(factory=lambda: ReportPacer(LOCAL_REPORTS_PER_S))
+    _far: ReportPacer = attrs.field(factory=lambda: ReportPacer(REMOTE_REPORTS_PER_S))
 
     @property
     def busy(self) -> bool:
@@ -92,8 +92,8 @@
         urgent = (self.version_read(), *_urgent(state))
         if urgent != self._urgent:
             self._urgent = urgent
-            self._near.sent(data, now_ms)
-            self._far.sent(data, now_ms)
+            self._near.mark_sent(data, now_ms)
+            self._far.mark_sent(data, now_ms)
             self._write(self.servers, data)
             return
         near = {server for server in self.servers if self._is_near(server)}
@@ -270,7 +270,7 @@
     def _go(self, stream: int, _: Proceed) -> None:
         run = self._runs.get(stream)
         if run is not None:
-            run.go()
+            run.proceed()
 
     def _cancel(self, stream: int, _: Cancel) -> None:
         run = self._runs.pop(stream, None)
--- a/azurestep/mesh/messages.py
+++ b/azurestep/mesh/messages.py
@@ -112,7 +112,7 @@
     failure_ratio : float
         Share of the backend server's runs that failed of late.
     callers, refusals : tuple
-        What ``pressure.Report`` holds.
+        What ``pressure.PressureReport`` holds.
     """
 
     service: str
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -18,14 +18,14 @@
 from ..quarantine import QuarantineUpdate
 from ..routing.table import RoutingTable
 from . import endpoints, events
-from .backend.crashes import CrashWatch
+from .backend.crashes import CrashTracker
 from .backend.inbound import Inbound
 from .backend.probing import Prober
 from .backend.state import Backend
 from .callers.context import CallContext
 from .callers.outbound import Outbound
 from .callers.own_answers import answer_failed
-from .decisions.pressure import Report
+from .decisions.pressure import PressureReport
 from .decisions.retry_budget import RetryBudget
 from .knowledge.configuration import PEER, Configuration
 from .knowledge.discovery import Discovery
@@ -70,7 +70,7 @@
     path: pathlib.Path
     runtime: Runtime
     backend: Backend = attrs.field(init=False)
-    crashes: CrashWatch = attrs.field(init=False)
+    crashes: CrashTracker = attrs.field(init=False)
     inbound: Inbound = attrs.field(init=False)
     members: Members = attrs.field(init=False)
     configuration: Configuration = attrs.field(init=False)
@@ -96,7 +96,7 @@
         bounds = settings.bounds
         self.started_ms = runtime.now_ms()
         self.backend = Backend(bounds.drain_ms)
-        self.crashes = CrashWatch(
+        self.crashes = CrashTracker(
             settings.peer_address[0], self._report_crashes, self._count_servers
         )
         self.inbound = Inbound(
@@ -290,7 +290,7 @@
             self.follower.store_reachable,
             self.is_stopping,
             self.inbound.health.failure_ratio,
-            self.inbound.callers.callers(),
+            self.inbound.caller_detector.callers(),
             self.calls.refusals.report(),
         )
 
@@ -392,7 +392,7 @@
         if self._ticks % STATE_TICKS == 0:
             run_guarded(self.schedule_state_broadcast)
         if self._ticks % FORGET_TICKS == 0:
-            run_guarded(self.calls.returning.forget, now_ms)
+            run_guarded(self.calls.returning_callers.expire, now_ms)
         if self._ticks % 5 == 0:
             for state in states:
                 run_guarded(state.sweep, now_s)
@@ -406,13 +406,13 @@
             self._stopped.set()
 
     def _update_pressure(self) -> None:
-        self.outbound.pressure.update(self._reports())
+        self.outbound.load_shedder.update(self._reports())
 
-    def _reports(self) -> list[Report]:
+    def _reports(self) -> list[PressureReport]:
         states = [link.state for link in self.members.alive()]
         states.append(self.state())
         return [
-            Report(state.service, state.callers, state.refusals)
+            PressureReport(state.service, state.callers, state.refusals)
             for state in states
             if state is not None
         ]
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -9,7 +9,7 @@
 from . import events
 from .backend.inbound import Inbound
 from .callers.outbound import Outbound
-from .decisions.stopping import StopPlan
+from .decisions.stopping import ShutdownPlan
 from .links.server import PeerListener
 from .runtime import Runtime
 
@@ -24,7 +24,7 @@
         Connections of callers.
     close_callers : Callable
         Stops taking connections of callers.
-    plan : StopPlan or None
+    plan : ShutdownPlan or None
         When what happens; None until the stop begins.
     """
 
@@ -35,23 +35,23 @@
     inbound: Inbound
     listener: PeerListener
     close_callers: Callable[[], None]
-    plan: StopPlan | None = None
+    plan: ShutdownPlan | None = None
 
     def begin(self, grace_ms: float) -> bool:
         """Begin, and return whether it had not begun before."""
         if self.plan is not None:
             return False
-        self.plan = StopPlan(self.runtime.now_ms(), grace_ms)
+        self.plan = ShutdownPlan(self.runtime.now_ms(), grace_ms)
         self.callers.draining = True
-        self.outbound.context.end_by(self.plan.answer_by_ms)
-        self.inbound.stop(self.plan.answer_by_ms)
+        self.outbound.context.end_by(self.plan.drain_deadline_ms)
+        self.inbound.stop(self.plan.drain_deadline_ms)
         self._log(events.STOPPING)
         return True
 
     def advance(self, now_ms: float) -> bool:
         """Take the next step; return whether the node may end."""
         plan = self.plan
-        if plan is None or now_ms < plan.refuses_from_ms:
+        if plan is None or now_ms < plan.refuse_from_ms:
             return False
         if not self.outbound.closed:
             self.outbound.closed = True
@@ -59,7 +59,7 @@
             # What was accepted last is read, and refused, before the next look.
             return False
         busy = self.callers.busy or self.inbound.busy or self.listener.busy
-        if busy and now_ms < plan.ends_ms:
+        if busy and now_ms < plan.exit_deadline_ms:
             return False
         for connection in list(self.callers.connections):
             self.runtime.run_guarded("stop", connection.close_if_idle)
--- a/tests/broken_node.py
+++ b/tests/broken_node.py
@@ -16,7 +16,7 @@
 from azurestep.mesh.callers import call
 from azurestep.mesh.callers.answer_writer import AnswerWriter
 from azurestep.mesh.callers.outbound import Outbound
-from azurestep.mesh.decisions.stopping import StopPlan
+from azurestep.mesh.decisions.stopping import ShutdownPlan
 from azurestep.mesh.knowledge import configuration
 from azurestep.mesh.messages import Answer, Failure, Reason
 
@@ -77,8 +77,8 @@
 
 def end_unanswered() -> None:
     """End at the end of the grace time whatever is not answered."""
-    late = property(lambda self: self.ends_ms + 60_000.0)
-    StopPlan.answer_by_ms = late  # type: ignore[method-assign, assignment]
+    late = property(lambda self: self.exit_deadline_ms + 60_000.0)
+    ShutdownPlan.drain_deadline_ms = late  # type: ignore[method-assign, assignment]
 
 
 def fail_to_handle() -> None:
--- a/tests/fixtures_inbound.py
+++ b/tests/fixtures_inbound.py
@@ -8,7 +8,7 @@
 import pytest
 
 from azurestep.http.client import ClientConnection
-from azurestep.mesh.backend.crashes import CrashWatch
+from azurestep.mesh.backend.crashes import CrashTracker
 from azurestep.mesh.backend.inbound import Inbound
 from azurestep.mesh.backend.run import Run
 from azurestep.mesh.backend.state import Backend
@@ -168,7 +168,7 @@
     def leave(self) -> None:
         """Let the server say that it leaves, long enough ago to take nothing."""
         leaving = attrs.evolve(BEAT, sequence=2, leaving=True)
-        self.inbound.backend.announce(leaving, self.loop.now_ms)
+        self.inbound.backend.apply_heartbeat(leaving, self.loop.now_ms)
         self.loop.now_ms += DRAIN_MS
 
     def after(self, pause_ms: float) -> None:
@@ -192,13 +192,13 @@
     """Return a backend server that has just announced itself."""
     loop = ManualLoop()
     backend = Backend(DRAIN_MS)
-    backend.announce(attrs.evolve(BEAT, slots=slots), 0.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, slots=slots), 0.0)
     inbound = ManualInbound(
         runtime(loop),  # type: ignore[arg-type]
         ("127.0.0.1", 1),
         backend,
         lambda: None,
-        CrashWatch("127.0.0.1"),
+        CrashTracker("127.0.0.1"),
     )
     inbound.tick()
     return Beside(loop, inbound)
--- a/tests/test_mesh_admission.py
+++ b/tests/test_mesh_admission.py
@@ -207,7 +207,7 @@
 def test_nothing_starts_that_would_outlast_the_node_beside_the_server() -> None:
     admission = Admission(slots=2)
     admission.learn("read", 500.0)
-    admission.closes_ms = 1000.0
+    admission.drain_deadline_ms = 1000.0
     assert admission.offer(ticket(objective_ms=9000.0), 400.0) is True
     refused = admission.offer(ticket(arrived_ms=600.0, objective_ms=9000.0), 600.0)
     assert isinstance(refused, Refused)
@@ -218,10 +218,10 @@
     admission.learn("read", 500.0)
     first, second, third = (ticket(objective_ms=9000.0) for _ in range(3))
     for one in (first, second, third):
-        one.deadline_at_ms = 9000.0
+        one.deadline_ms = 9000.0
         admission.offer(one, 0.0)
     assert admission.late(0.0) == []
-    admission.closes_ms = 1200.0
+    admission.drain_deadline_ms = 1200.0
     assert admission.late(0.0) == [third]
 
 
@@ -230,8 +230,8 @@
     admission.learn("read", 500.0)
     first, urgent, patient = (ticket(priority, 0.0, 9000.0) for priority in (1, 0, 2))
     for one in (first, urgent, patient):
-        one.deadline_at_ms = 9000.0
+        one.deadline_ms = 9000.0
         admission.offer(one, 0.0)
-    urgent.deadline_at_ms = 900.0
-    admission.closes_ms = 1200.0
+    urgent.deadline_ms = 900.0
+    admission.drain_deadline_ms = 1200.0
     assert admission.late(0.0) == [urgent]
--- a/tests/test_mesh_backend.py
+++ b/tests/test_mesh_backend.py
@@ -14,7 +14,7 @@
 @pytest.fixture
 def backend() -> Backend:
     backend = Backend(DRAIN_MS)
-    backend.announce(BEAT, 0.0)
+    backend.apply_heartbeat(BEAT, 0.0)
     return backend
 
 
@@ -26,7 +26,7 @@
 def test_leaving_closes_the_choice_at_once_and_the_door_inside_the_bound(
     backend: Backend,
 ) -> None:
-    backend.announce(attrs.evolve(BEAT, sequence=2, leaving=True), 100.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, sequence=2, leaving=True), 100.0)
     assert not backend.is_open()
     assert backend.admits(100.0 + DRAIN_MS * DRAIN_SHARE - 1)
     assert not backend.admits(100.0 + DRAIN_MS * DRAIN_SHARE)
@@ -35,40 +35,40 @@
 def test_deregistration_without_a_heartbeat_before_is_a_leaving(
     backend: Backend,
 ) -> None:
-    backend.leave(LeavingNotice("i-1"), 50.0)
+    backend.apply_leaving(LeavingNotice("i-1"), 50.0)
     assert not backend.is_open()
     assert not backend.admits(50.0 + DRAIN_MS)
 
 
 def test_late_heartbeat_does_not_reopen_a_leaving_server(backend: Backend) -> None:
-    backend.announce(attrs.evolve(BEAT, sequence=5, leaving=True), 100.0)
-    backend.announce(attrs.evolve(BEAT, sequence=4), 200.0)
-    backend.announce(attrs.evolve(BEAT, sequence=6), 300.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, sequence=5, leaving=True), 100.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, sequence=4), 200.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, sequence=6), 300.0)
     assert not backend.is_open()
 
 
 def test_heartbeat_of_a_dead_incarnation_changes_nothing(backend: Backend) -> None:
-    backend.answered("i-1", 0.0)
-    backend.announce(attrs.evolve(BEAT, instance_id="i-0", sequence=9), 10.0)
+    backend.confirm_instance("i-1", 0.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, instance_id="i-0", sequence=9), 10.0)
     assert backend.instance_id == "i-1"
-    assert backend.doubted_id == "i-0"
+    assert backend.conflicting_id == "i-0"
 
 
 def test_answer_of_a_new_incarnation_replaces_the_old_one(backend: Backend) -> None:
-    backend.announce(attrs.evolve(BEAT, instance_id="i-2"), 10.0)
-    backend.answered("i-2", 20.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, instance_id="i-2"), 10.0)
+    backend.confirm_instance("i-2", 20.0)
     assert backend.instance_id == "i-2"
-    backend.announce(attrs.evolve(BEAT, sequence=99), 30.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, sequence=99), 30.0)
     assert backend.instance_id == "i-2"
-    assert backend.doubted_id == ""
+    assert backend.conflicting_id == ""
 
 
 def test_answer_of_an_unknown_incarnation_closes_until_it_announces_itself(
     backend: Backend,
 ) -> None:
-    backend.answered("i-3", 20.0)
+    backend.confirm_instance("i-3", 20.0)
     assert not backend.admits(20.0)
-    backend.announce(attrs.evolve(BEAT, instance_id="i-3"), 30.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, instance_id="i-3"), 30.0)
     assert backend.is_open()
 
 
--- a/tests/test_mesh_bodies.py
+++ b/tests/test_mesh_bodies.py
@@ -4,7 +4,7 @@
 
 from azurestep.http.client import ClientConnection
 from azurestep.mesh.backend.run import Run
-from azurestep.mesh.backend.transfers import AT_ONCE
+from azurestep.mesh.backend.transfers import MAX_CONCURRENT_TRANSFERS
 
 from .fixtures_inbound import Beside, Listener, make_beside
 
@@ -21,32 +21,36 @@
 
 
 def test_the_next_body_is_asked_for_as_soon_as_one_came(beside: Beside) -> None:
-    uploads = [upload(beside) for _ in range(AT_ONCE + 1)]
+    uploads = [upload(beside) for _ in range(MAX_CONCURRENT_TRANSFERS + 1)]
     beside.loop.run_due()
-    assert [listener.asked for _, listener in uploads] == [1] * AT_ONCE + [0]
-    uploads[0][0].go()
+    assert [listener.asked for _, listener in uploads] == [
+        1
+    ] * MAX_CONCURRENT_TRANSFERS + [0]
+    uploads[0][0].proceed()
     uploads[0][0].body(BODY, True)
     beside.loop.run_due()
-    assert uploads[0][0].may_run
-    assert [listener.asked for _, listener in uploads] == [1] * (AT_ONCE + 1)
+    assert uploads[0][0].may_have_run
+    assert [listener.asked for _, listener in uploads] == [1] * (
+        MAX_CONCURRENT_TRANSFERS + 1
+    )
 
 
 def test_what_waits_for_its_turn_is_refused_once_it_is_late(beside: Beside) -> None:
     beside.inbound.admission.learn("read", 200.0)
-    for _ in range(AT_ONCE):
+    for _ in range(MAX_CONCURRENT_TRANSFERS):
         upload(beside)
     _, waiting = upload(beside, budget_ms=450.0)
     beside.after(200.0)
     assert waiting.outcomes == []
     beside.after(100.0)
     assert waiting.outcomes == ["TOO_LATE"]
-    assert len(beside.inbound.admission.running) == AT_ONCE
+    assert len(beside.inbound.admission.running) == MAX_CONCURRENT_TRANSFERS
 
 
 def test_bodies_that_never_come_keep_no_others_waiting(beside: Beside) -> None:
-    silent = [upload(beside, budget_ms=5000.0) for _ in range(AT_ONCE)]
+    silent = [upload(beside, budget_ms=5000.0) for _ in range(MAX_CONCURRENT_TRANSFERS)]
     for run, _ in silent:
-        run.go()
+        run.proceed()
     _, sound = upload(beside, budget_ms=5000.0)
     for _ in range(5):
         beside.after(100.0)
@@ -54,13 +58,13 @@
     run, _ = silent[0]
     run.body(BODY, True)
     beside.loop.run_due()
-    assert run.may_run, "a body that comes late still runs"
+    assert run.may_have_run, "a body that comes late still runs"
 
 
 def test_a_request_whose_body_never_came_has_not_run(beside: Beside) -> None:
     beside.inbound.admission.learn("read", 200.0)
     run, silent = upload(beside)
-    run.go()
+    run.proceed()
     for _ in range(10):
         beside.after(100.0)
     assert silent.outcomes == []
@@ -74,7 +78,7 @@
     beside: Beside,
 ) -> None:
     beside.inbound.admission.learn("read", 3000.0)
-    for _ in range(AT_ONCE):
+    for _ in range(MAX_CONCURRENT_TRANSFERS):
         upload(beside, budget_ms=FAR_MS)
     _, waiting = upload(beside, budget_ms=FAR_MS)
     beside.inbound.stop(beside.loop.now_ms + 2000.0)
@@ -87,13 +91,13 @@
         beside = make_beside()
         beside.inbound.admission.learn("read", 500.0)
         run, listener = upload(beside, budget_ms)
-        run.go()
+        run.proceed()
         if reason == "STOPPING":
             beside.inbound.stop(beside.loop.now_ms + 600.0)
         beside.after(400.0)
         run.body(BODY, True)
         beside.loop.run_due()
-        assert not run.may_run
+        assert not run.may_have_run
         assert listener.outcomes == [reason]
         assert beside.inbound.admission.in_flight == 0
 
@@ -104,9 +108,9 @@
     run = beside.submit(listener, FAR_MS, held=True)
     beside.inbound.stop(beside.loop.now_ms + 600.0)
     beside.loop.now_ms += 350.0
-    run.go()
+    run.proceed()
     beside.loop.run_due()
-    assert not run.may_run
+    assert not run.may_have_run
     assert listener.outcomes == ["STOPPING"]
 
 
@@ -116,9 +120,9 @@
     beside.inbound.admission.learn("read", 5000.0)
     run = beside.submit(Listener(), held=True)
     beside.loop.now_ms += 3.0
-    run.go()
+    run.proceed()
     beside.loop.run_due()
-    assert run.may_run, "a mean that is too long is only corrected by runs"
+    assert run.may_have_run, "a mean that is too long is only corrected by runs"
 
 
 def test_a_server_hears_of_the_end_of_the_node_beside_it(
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 
 from azurestep.mesh.decisions.cadence import (
-    IDLE_PROBE_LEAST_MS,
     IDLE_PROBES_PER_S,
+    MIN_IDLE_PROBE_INTERVAL_MS,
     REPORT_LEAST_MS,
-    ReportPace,
-    idle_probe_ms,
+    ReportPacer,
+    idle_probe_interval_ms,
 )
 from azurestep.mesh.knowledge.configuration import PEER, STORE
 from azurestep.mesh.links.link import DOUBT_MS
@@ -26,14 +26,14 @@
 
 @given(links=LINKS)
 def test_a_node_sends_no_more_probes_than_its_rate(links: int) -> None:
-    per_s = links * 1000 / idle_probe_ms(links)
+    per_s = links * 1000 / idle_probe_interval_ms(links)
     assert per_s <= IDLE_PROBES_PER_S + 1e-6
-    assert idle_probe_ms(links) >= IDLE_PROBE_LEAST_MS
+    assert idle_probe_interval_ms(links) >= MIN_IDLE_PROBE_INTERVAL_MS
 
 
 @given(links=LINKS)
 def test_load_reports_keep_to_their_rate(links: int) -> None:
-    audience = ReportPace(per_s=40.0)
+    audience = ReportPacer(per_s=40.0)
     seconds = 100
     sent = sum(
         audience.is_due(str(tick).encode(), links, tick * 100.0)
@@ -44,7 +44,7 @@
 
 
 def test_a_report_that_says_nothing_new_is_not_sent() -> None:
-    audience = ReportPace(per_s=40.0)
+    audience = ReportPacer(per_s=40.0)
     assert audience.is_due(b"a", 2, 0.0)
     assert not audience.is_due(b"a", 2, 10_000.0)
     assert not audience.is_due(b"b", 2, 100.0)
@@ -110,7 +110,7 @@
         link.connection.ping()
     time.sleep(DOUBT_MS / 1000 + 0.05)
     node._tick([])
-    assert not any(link.endpoint.doubted for link in links)
+    assert not any(link.endpoint.unresponsive for link in links)
 
 
 async def test_a_version_is_pushed_by_the_node_that_read_it_only(
--- a/tests/test_mesh_choice.py
+++ b/tests/test_mesh_choice.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from azurestep.mesh.decisions.choice import Endpoint, Wish, choose
+from azurestep.mesh.decisions.choice import Endpoint, SelectionCriteria, choose_endpoint
 from azurestep.mesh.decisions.sizes import AnswerSizes
 from azurestep.mesh.incarnation import Incarnation
 
@@ -23,8 +23,8 @@
 
 
 def pick(endpoints: list[Endpoint], random: Random, size_kib: float = 1.5) -> object:
-    wish = Wish("shop", "read", 400.0, 150.0, size_kib, "dc-1")
-    found = choose(endpoints, wish, set(), 0.0, random)
+    criteria = SelectionCriteria("shop", "read", 400.0, 150.0, size_kib, "dc-1")
+    found = choose_endpoint(endpoints, criteria, set(), 0.0, random)
     return found and found.key
 
 
@@ -44,8 +44,8 @@
 
 
 def test_a_faster_backend_server_gets_more(random: Random) -> None:
-    slow = endpoint("slow", run_ms={"read": 300.0})
-    fast = endpoint("fast", run_ms={"read": 80.0})
+    slow = endpoint("slow", mean_run_ms={"read": 300.0})
+    fast = endpoint("fast", mean_run_ms={"read": 80.0})
     assert pick([slow, fast], random) == "fast"
 
 
@@ -60,14 +60,14 @@
 
 def test_a_closed_or_excluded_one_is_never_chosen(random: Random) -> None:
     closed = endpoint("closed", open=False)
-    wish = Wish("shop", "read", 400.0, 150.0, 1.5, "dc-1")
-    assert choose([closed], wish, set(), 0.0, random) is None
-    assert choose([endpoint("a")], wish, {"a"}, 0.0, random) is None
+    criteria = SelectionCriteria("shop", "read", 400.0, 150.0, 1.5, "dc-1")
+    assert choose_endpoint([closed], criteria, set(), 0.0, random) is None
+    assert choose_endpoint([endpoint("a")], criteria, {"a"}, 0.0, random) is None
 
 
 def test_one_that_failed_or_is_doubted_is_the_last_resort(random: Random) -> None:
     failed = endpoint("failed", failed_until_ms=100.0)
-    doubted = endpoint("doubted", doubted=True)
+    doubted = endpoint("doubted", unresponsive=True)
     sound = endpoint("sound", in_flight=4)
     assert pick([failed, doubted, sound], random) == "sound"
     assert pick([doubted], random) == "doubted"
@@ -75,18 +75,21 @@
 
 def test_own_requests_count_until_the_other_node_tells(random: Random) -> None:
     one = endpoint("one")
-    one.tell(3)
-    one.mine += 2
+    one.update_load(3)
+    one.own_in_flight += 2
     assert one.load == 5
-    one.tell(1)
+    one.update_load(1)
     assert one.load == 2
 
 
 def test_a_server_that_was_not_asked_yet_counts_as_usual(random: Random) -> None:
-    known = endpoint("known", run_ms={"read": 400.0})
+    known = endpoint("known", mean_run_ms={"read": 400.0})
     unknown = endpoint("unknown", "dc-2")
-    wish = Wish("shop", "read", 1200.0, 400.0, 1.5, "dc-1")
-    found = [choose([known, unknown], wish, set(), 0.0, random) for _ in range(40)]
+    criteria = SelectionCriteria("shop", "read", 1200.0, 400.0, 1.5, "dc-1")
+    found = [
+        choose_endpoint([known, unknown], criteria, set(), 0.0, random)
+        for _ in range(40)
+    ]
     assert set(found) == {known}
 
 
@@ -113,5 +116,5 @@
         sizes.learn("download", 90_000)
         sizes.learn("read", 1_500)
     near, far = endpoint("near", in_flight=7), endpoint("far", "dc-2")
-    assert pick([near, far], random, sizes.kib("download")) == "near"
-    assert pick([near, far], random, sizes.kib("read")) == "far"
+    assert pick([near, far], random, sizes.mean_kib("download")) == "near"
+    assert pick([near, far], random, sizes.mean_kib("read")) == "far"
--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -51,7 +51,7 @@
 
 BESIDE_SERVER = {
     "submit": (Inbound, of_submitted),
-    "go": (Run, of_run),
+    "proceed": (Run, of_run),
 }
 
 
@@ -84,7 +84,7 @@
     return await faulty, list(others)
 
 
-@pytest.mark.parametrize("method", ["submit", "go"])
+@pytest.mark.parametrize("method", ["submit", "proceed"])
 async def test_a_fault_beside_the_server_fails_its_request_alone(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch, method: str
 ) -> None:
--- a/tests/test_mesh_containment_callers.py
+++ b/tests/test_mesh_containment_callers.py
@@ -177,7 +177,7 @@
 ) -> None:
     instance = mesh.instances[0]
     with monkeypatch.context() as patch:
-        patch.setattr(Backend, "announce", fail)
+        patch.setattr(Backend, "apply_heartbeat", fail)
         assert await instance.beat(mesh.session) == 500
     assert await instance.beat(mesh.session) == 200
     (told,) = mesh_lines.of(9010)
@@ -199,7 +199,7 @@
         (Node, "schedule_state_broadcast"),
         (Node, "_check_settings"),
         (Node, "_reports"),
-        (ReturningCallers, "forget"),
+        (ReturningCallers, "expire"),
     ],
 )
 async def test_a_node_goes_on_when_a_part_of_its_tick_fails(
--- a/tests/test_mesh_containment_queue.py
+++ b/tests/test_mesh_containment_queue.py
@@ -9,7 +9,7 @@
 from azurestep.http.client import ClientConnection, IdlePool
 from azurestep.mesh.backend.inbound import Inbound
 from azurestep.mesh.backend.run import Run
-from azurestep.mesh.backend.transfers import AT_ONCE, Transfers
+from azurestep.mesh.backend.transfers import MAX_CONCURRENT_TRANSFERS, BodyTransfers
 from azurestep.mesh.decisions.admission import Admission
 from azurestep.mesh.metrics import Metrics
 
@@ -55,7 +55,7 @@
 
 def test_a_fault_in_asking_for_a_body_takes_no_turn(beside: Beside) -> None:
     with broken(Listener, "on_slot_ready"):
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_CONCURRENT_TRANSFERS):
             with pytest.raises(KeyError):
                 upload(beside, FAR_MS)
     _, sound = upload(beside, FAR_MS)
@@ -104,11 +104,11 @@
     stuck, waiting = Listener(), Listener()
     faulty = beside.submit(stuck)
     next_run = beside.submit(waiting, FAR_MS)
-    faulty.ticket.deadline_at_ms = beside.loop.now_ms
+    faulty.ticket.deadline_ms = beside.loop.now_ms
     with broken(Run, "refuse", lambda run, *_: run is faulty):
         running[0].cancel()
         beside.loop.run_due()
-    assert next_run.may_run
+    assert next_run.may_have_run
     assert stuck.outcomes == ["failed FAULT"]
 
 
@@ -123,16 +123,16 @@
         running[0].cancel()
         beside.loop.run_due()
     assert stuck.outcomes == ["failed FAULT"]
-    assert next_run.may_run
+    assert next_run.may_have_run
     assert len(beside.inbound.admission.running) == SLOTS
 
 
 def test_an_upload_whose_lateness_can_not_be_told_keeps_no_other_waiting(
     beside: Beside,
 ) -> None:
-    uploads = [upload(beside, FAR_MS) for _ in range(AT_ONCE + 2)]
-    faulty, stuck = uploads[AT_ONCE]
-    _, following = uploads[AT_ONCE + 1]
+    uploads = [upload(beside, FAR_MS) for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
+    faulty, stuck = uploads[MAX_CONCURRENT_TRANSFERS]
+    _, following = uploads[MAX_CONCURRENT_TRANSFERS + 1]
     with broken(Run, "refuse_if_late", lambda run, _: run is faulty):
         uploads[0][0].cancel()
         beside.loop.run_due()
@@ -154,7 +154,7 @@
     (Admission, "leave", of_any),
     (Inbound, "release", of_any),
     (Inbound, "ran", of_any),
-    (Transfers, "end", of_any),
+    (BodyTransfers, "end", of_any),
 ]
 
 
--- a/tests/test_mesh_crashes.py
+++ b/tests/test_mesh_crashes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from azurestep.mesh.backend.crashes import CrashWatch
+from azurestep.mesh.backend.crashes import CrashTracker
 from azurestep.mesh.incarnation import Incarnation
 from azurestep.mesh.messages import Request
 
@@ -36,49 +36,49 @@
 
 
 @pytest.fixture
-def watch() -> CrashWatch:
-    return CrashWatch("127.0.0.1", servers=lambda service: 6)
+def tracker() -> CrashTracker:
+    return CrashTracker("127.0.0.1", count_servers=lambda service: 6)
 
 
-def crash(watch: CrashWatch, request: Request, now_ms: float) -> None:
-    watch.lost(request, now_ms)
-    watch.died("shop", request.incarnation, now_ms + 1)
+def crash(tracker: CrashTracker, request: Request, now_ms: float) -> None:
+    tracker.record_lost(request, now_ms)
+    tracker.record_death("shop", request.incarnation, now_ms + 1)
 
 
 def test_a_request_that_was_under_way_at_two_deaths_is_refused(
-    watch: CrashWatch,
+    tracker: CrashTracker,
 ) -> None:
-    crash(watch, request(), 0.0)
-    assert not watch.refuses(request(), 10.0)
-    crash(watch, request(instance_id=b"i-2"), 20.0)
-    assert watch.refuses(request(), 30.0)
-    assert not watch.refuses(request(b"/read/2"), 30.0)
+    crash(tracker, request(), 0.0)
+    assert not tracker.is_quarantined(request(), 10.0)
+    crash(tracker, request(instance_id=b"i-2"), 20.0)
+    assert tracker.is_quarantined(request(), 30.0)
+    assert not tracker.is_quarantined(request(b"/read/2"), 30.0)
 
 
 def test_a_connection_that_ended_while_the_server_lives_is_no_death(
-    watch: CrashWatch,
+    tracker: CrashTracker,
 ) -> None:
     for name in (b"i-1", b"i-2", b"i-3"):
-        watch.lost(request(instance_id=name), 0.0)
-        watch.alive("shop", Incarnation(name))
-        watch.died("shop", Incarnation(name), 1.0)
-    assert not watch.refuses(request(), 30.0)
+        tracker.record_lost(request(instance_id=name), 0.0)
+        tracker.record_alive("shop", Incarnation(name))
+        tracker.record_death("shop", Incarnation(name), 1.0)
+    assert not tracker.is_quarantined(request(), 30.0)
 
 
-def test_a_request_that_is_answered_again_is_cleared(watch: CrashWatch) -> None:
-    crash(watch, request(), 0.0)
-    watch.answered(request(instance_id=b"i-2"), 10.0)
-    crash(watch, request(instance_id=b"i-3"), 20.0)
-    assert not watch.refuses(request(), 30.0)
+def test_a_request_that_is_answered_again_is_cleared(tracker: CrashTracker) -> None:
+    crash(tracker, request(), 0.0)
+    tracker.record_answered(request(instance_id=b"i-2"), 10.0)
+    crash(tracker, request(instance_id=b"i-3"), 20.0)
+    assert not tracker.is_quarantined(request(), 30.0)
 
 
-def test_what_one_node_saw_another_learns(watch: CrashWatch) -> None:
-    crash(watch, request(), 0.0)
-    crash(watch, request(instance_id=b"i-2"), 20.0)
-    other = CrashWatch("127.0.0.2", servers=lambda service: 6)
-    for service, updates in watch.export(30.0):
-        other.learn(service, updates, 30.0)
-    assert other.refuses(request(), 40.0)
+def test_what_one_node_saw_another_learns(tracker: CrashTracker) -> None:
+    crash(tracker, request(), 0.0)
+    crash(tracker, request(instance_id=b"i-2"), 20.0)
+    other = CrashTracker("127.0.0.2", count_servers=lambda service: 6)
+    for service, updates in tracker.export(30.0):
+        other.merge(service, updates, 30.0)
+    assert other.is_quarantined(request(), 40.0)
 
 
 async def test_a_request_reaches_no_third_server_after_it_crashed_two(
@@ -102,8 +102,8 @@
     assert status == 502
     assert len(crashed) == 2
     spared = next(item for item in mesh.instances if item.host not in crashed)
-    refuses = spared.node.crashes.refuses
-    await eventually(lambda: refuses(request(POISON.encode()), loop_ms()))
+    is_quarantined = spared.node.crashes.is_quarantined
+    await eventually(lambda: is_quarantined(request(POISON.encode()), loop_ms()))
     for index, instance in enumerate(mesh.instances):
         status, _ = await mesh.get(instance, POISON, f"x{index + 2}")
         assert status == 503
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -140,7 +140,7 @@
     mesh: MeshFleet,
 ) -> None:
     serving, other, asking = mesh.instances
-    other.node.inbound.admission.closes_ms = 0.0
+    other.node.inbound.admission.drain_deadline_ms = 0.0
     task = await run_at_one(mesh)
     silence(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
@@ -164,7 +164,7 @@
     await eventually(lambda: serving.server.running == 4)
     task = asyncio.create_task(read(mesh, asking, "n1"))
     await eventually(lambda: serving.node.inbound.admission.in_flight == 5)
-    other.node.inbound.admission.closes_ms = 0.0
+    other.node.inbound.admission.drain_deadline_ms = 0.0
     await reopen(mesh, other)
     silence(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
--- a/tests/test_mesh_foreign_records.py
+++ b/tests/test_mesh_foreign_records.py
@@ -162,7 +162,7 @@
             assert await announce(mesh.session, instance.host, name, body) == 400
     backend = instance.node.backend
     assert backend.instance_id == "i-1"
-    assert not backend.doubted_id
+    assert not backend.conflicting_id
 
 
 async def test_a_service_that_was_known_may_leave_after_it_was_dropped(
--- a/tests/test_mesh_health.py
+++ b/tests/test_mesh_health.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from azurestep.mesh.decisions.choice import Endpoint, Wish, choose
+from azurestep.mesh.decisions.choice import Endpoint, SelectionCriteria, choose_endpoint
 from azurestep.mesh.decisions.health import Health
 from standins.signing_server import Received, signed
 
@@ -46,12 +46,15 @@
 def test_a_failing_server_is_chosen_only_when_the_others_are_past_their_room() -> None:
     failing = Endpoint("failing", "shop", b"f", "dc", slots=4, failure_ratio=0.6)
     other = Endpoint("other", "shop", b"o", "dc", slots=4, in_flight=4)
-    wish = Wish("shop", "read", 400.0, 150.0, 1.5, "dc")
+    criteria = SelectionCriteria("shop", "read", 400.0, 150.0, 1.5, "dc")
     random = Random(3)
-    found = {choose([failing, other], wish, set(), 0.0, random) for _ in range(50)}
+    found = {
+        choose_endpoint([failing, other], criteria, set(), 0.0, random)
+        for _ in range(50)
+    }
     assert found == {other}
     other.in_flight = 40
-    assert choose([failing, other], wish, set(), 0.0, random) is failing
+    assert choose_endpoint([failing, other], criteria, set(), 0.0, random) is failing
 
 
 def withdraw_after(beside: Beside, pause_ms: float) -> float:
--- a/tests/test_mesh_incarnations.py
+++ b/tests/test_mesh_incarnations.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from azurestep.mesh.backend.crashes import CrashWatch
+from azurestep.mesh.backend.crashes import CrashTracker
 from azurestep.mesh.backend.state import Backend
 from azurestep.mesh.incarnation import Incarnation
 from azurestep.platform.announcement import Heartbeat, LeavingNotice
@@ -24,27 +24,27 @@
 @pytest.fixture
 def backend() -> Backend:
     backend = Backend(DRAIN_MS)
-    backend.announce(FIRST, 0.0)
+    backend.apply_heartbeat(FIRST, 0.0)
     return backend
 
 
 def test_a_later_start_is_another_incarnation(backend: Backend) -> None:
-    backend.announce(AGAIN, 10.0)
+    backend.apply_heartbeat(AGAIN, 10.0)
     assert backend.incarnation == Incarnation(b"i-1", 9_000)
     assert backend.slots == 6
     assert backend.cold_remaining_ms(10.0) == 500.0
 
 
 def test_heartbeats_count_anew(backend: Backend) -> None:
-    backend.announce(AGAIN, 10.0)
-    backend.announce(attrs.evolve(AGAIN, sequence=2, slots=7), 20.0)
+    backend.apply_heartbeat(AGAIN, 10.0)
+    backend.apply_heartbeat(attrs.evolve(AGAIN, sequence=2, slots=7), 20.0)
     assert backend.slots == 7
 
 
 def test_leaving_of_the_earlier_start_does_not_hold(backend: Backend) -> None:
-    backend.announce(attrs.evolve(FIRST, sequence=41, leaving=True), 10.0)
+    backend.apply_heartbeat(attrs.evolve(FIRST, sequence=41, leaving=True), 10.0)
     assert not backend.is_open()
-    backend.announce(AGAIN, 20.0)
+    backend.apply_heartbeat(AGAIN, 20.0)
     assert backend.is_open()
     assert backend.admits(20.0 + 2 * DRAIN_MS)
 
@@ -59,8 +59,8 @@
 def test_a_late_heartbeat_of_the_earlier_start_changes_nothing(
     backend: Backend, late: Heartbeat
 ) -> None:
-    backend.announce(AGAIN, 10.0)
-    backend.announce(late, 20.0)
+    backend.apply_heartbeat(AGAIN, 10.0)
+    backend.apply_heartbeat(late, 20.0)
     assert backend.is_open()
     assert backend.slots == 6
 
@@ -68,48 +68,48 @@
 def test_a_late_leaving_notice_of_the_earlier_start_changes_nothing(
     backend: Backend,
 ) -> None:
-    backend.announce(AGAIN, 10.0)
-    backend.leave(LeavingNotice("i-1", started_ms=1_000), 20.0)
+    backend.apply_heartbeat(AGAIN, 10.0)
+    backend.apply_leaving(LeavingNotice("i-1", started_ms=1_000), 20.0)
     assert backend.is_open()
-    backend.leave(LeavingNotice("i-1", started_ms=9_000), 30.0)
+    backend.apply_leaving(LeavingNotice("i-1", started_ms=9_000), 30.0)
     assert not backend.is_open()
 
 
 def test_an_ended_mark_of_the_earlier_start_does_not_hold(backend: Backend) -> None:
     backend.mark_gone(Incarnation(b"i-1", 1_000))
-    backend.announce(attrs.evolve(FIRST, sequence=50), 10.0)
+    backend.apply_heartbeat(attrs.evolve(FIRST, sequence=50), 10.0)
     assert not backend.is_open()
-    backend.announce(AGAIN, 20.0)
+    backend.apply_heartbeat(AGAIN, 20.0)
     assert backend.is_open()
 
 
 def test_news_that_the_earlier_start_is_gone_leaves_the_later_one(
     backend: Backend,
 ) -> None:
-    backend.announce(AGAIN, 10.0)
+    backend.apply_heartbeat(AGAIN, 10.0)
     backend.mark_gone(Incarnation(b"i-1", 1_000))
     assert backend.is_open()
 
 
 def test_a_start_that_leaves_first_of_all_is_bound_from_then_on() -> None:
     backend = Backend(DRAIN_MS)
-    backend.announce(attrs.evolve(FIRST, leaving=True), 10.0)
+    backend.apply_heartbeat(attrs.evolve(FIRST, leaving=True), 10.0)
     assert not backend.admits(10.0)
-    backend.announce(AGAIN, 20.0)
+    backend.apply_heartbeat(AGAIN, 20.0)
     assert backend.is_open()
 
 
 def test_a_notice_without_a_start_concerns_the_newest_one(backend: Backend) -> None:
-    backend.announce(AGAIN, 10.0)
-    backend.leave(LeavingNotice("i-1"), 20.0)
+    backend.apply_heartbeat(AGAIN, 10.0)
+    backend.apply_leaving(LeavingNotice("i-1"), 20.0)
     assert not backend.is_open()
 
 
 def test_without_starts_all_is_as_before() -> None:
     backend = Backend(DRAIN_MS)
     plain = attrs.evolve(FIRST, started_ms=None)
-    backend.announce(plain, 0.0)
-    backend.announce(attrs.evolve(plain, sequence=39, slots=9), 1.0)
+    backend.apply_heartbeat(plain, 0.0)
+    backend.apply_heartbeat(attrs.evolve(plain, sequence=39, slots=9), 1.0)
     assert backend.slots == 4
     assert backend.incarnation == Incarnation(b"i-1")
 
@@ -118,7 +118,7 @@
     backend = Backend(DRAIN_MS)
     backend.discover("i-1", "shop", 4)
     before = backend.incarnation
-    backend.announce(FIRST, 10.0)
+    backend.apply_heartbeat(FIRST, 10.0)
     assert backend.incarnation.matches(before)
     assert backend.is_open()
 
@@ -143,10 +143,10 @@
     leaving: set[int] = set()
     for now_ms, (started_ms, sequence, leaves, by_notice) in enumerate(steps):
         if by_notice:
-            backend.leave(LeavingNotice("i-1", started_ms), float(now_ms))
+            backend.apply_leaving(LeavingNotice("i-1", started_ms), float(now_ms))
         else:
             beat = Heartbeat("i-1", "shop", sequence, 4, leaves, 0.0, started_ms)
-            backend.announce(beat, float(now_ms))
+            backend.apply_heartbeat(beat, float(now_ms))
         newest = max(newest, started_ms)
         if started_ms == newest and (leaves or by_notice):
             leaving.add(started_ms)
@@ -158,12 +158,12 @@
 
 
 def test_two_deaths_under_one_id_are_two_deaths() -> None:
-    watch = CrashWatch("127.0.0.1", servers=lambda service: 6)
+    tracker = CrashTracker("127.0.0.1", count_servers=lambda service: 6)
     for now_ms, started_ms in ((0.0, 1_000), (20.0, 9_000)):
         request = attrs.evolve(crash_request(), server_started_ms=started_ms)
-        watch.lost(request, now_ms)
-        watch.died("shop", request.incarnation, now_ms + 1)
-    assert watch.refuses(crash_request(), 30.0)
+        tracker.record_lost(request, now_ms)
+        tracker.record_death("shop", request.incarnation, now_ms + 1)
+    assert tracker.is_quarantined(crash_request(), 30.0)
 
 
 async def beat(mesh: MeshFleet, index: int, started_ms: int, **status: object) -> int:
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from azurestep.mesh.decisions.pressure import PressureView
+from azurestep.mesh.decisions.pressure import LoadShedder
 
 from .fixtures_mesh import MeshFleet, caller_headers
 
@@ -69,10 +69,10 @@
     assert {status for status, _ in answers} <= {200, 503}
 
 
-class SpareUrgent(PressureView):
+class SpareUrgent(LoadShedder):
     """Sheds all but the most urgent requests, whatever nodes report."""
 
-    def share(self, service: str, priority: int) -> float:
+    def shed_ratio(self, service: str, priority: int) -> float:
         return float(priority > 1)
 
 
@@ -80,7 +80,7 @@
     mesh: MeshFleet,
 ) -> None:
     node = mesh.instances[0].node
-    node.outbound.pressure = SpareUrgent()
+    node.outbound.load_shedder = SpareUrgent()
     url = mesh.instances[0].url("/read/1")
     async with mesh.session.get(url, headers=caller_headers("l1")) as answer:
         assert answer.status == 503
--- a/tests/test_mesh_pressure.py
+++ b/tests/test_mesh_pressure.py
@@ -1,75 +1,75 @@
 """Shedding for the sake of the service behind the next one."""
 
 from azurestep.mesh.decisions.pressure import (
-    CallerLearner,
-    PressureView,
+    CallerDetector,
+    LoadShedder,
+    PressureReport,
     RefusalMeter,
-    Report,
 )
 
 
 def test_a_route_used_by_one_service_only_is_taken_for_its_calls() -> None:
-    learner = CallerLearner()
+    detector = CallerDetector()
     for index in range(120):
-        learner.arrived("book", 1, (b"shop", b"books", b"files")[index % 3])
-        learner.arrived("lookup", 1, b"shop")
-    assert learner.callers() == (("shop", 1),)
+        detector.record_request("book", 1, (b"shop", b"books", b"files")[index % 3])
+        detector.record_request("lookup", 1, b"shop")
+    assert detector.callers() == (("shop", 1),)
 
 
 def test_a_route_that_callers_also_use_elsewhere_is_not() -> None:
-    learner = CallerLearner()
+    detector = CallerDetector()
     for index in range(300):
-        learner.arrived("book", 1, b"books" if index % 10 == 0 else b"shop")
-    assert learner.callers() == ()
+        detector.record_request("book", 1, b"books" if index % 10 == 0 else b"shop")
+    assert detector.callers() == ()
 
 
 def test_a_mislabelled_call_changes_nothing() -> None:
-    learner = CallerLearner()
+    detector = CallerDetector()
     for index in range(300):
-        learner.arrived("lookup", 1, b"books" if index == 0 else b"shop")
-    assert learner.callers() == (("shop", 1),)
+        detector.record_request("lookup", 1, b"books" if index == 0 else b"shop")
+    assert detector.callers() == (("shop", 1),)
 
 
 def test_a_node_tells_the_share_that_it_refused_in_the_end() -> None:
     meter = RefusalMeter()
     for index in range(40):
-        meter.offered("book", "books", 1)
+        meter.record_offered("book", "books", 1)
         if index % 4 == 0:
-            meter.refused("book")
+            meter.record_refused("book")
     assert meter.report() == (("books", 1, 0.25),)
 
 
 def test_refusals_fade() -> None:
     meter = RefusalMeter()
     for _ in range(40):
-        meter.offered("book", "books", 1)
-        meter.refused("book")
+        meter.record_offered("book", "books", 1)
+        meter.record_refused("book")
     for _ in range(100):
         meter.tick()
     assert meter.report() == ()
 
 
 def test_only_less_urgent_requests_of_the_caller_are_shed() -> None:
-    view = PressureView()
-    view.update([Report("books", (("shop", 1),), (("books", 1, 0.5),))])
-    assert view.share("shop", 2) == 0.5
-    assert view.share("shop", 1) == 0.0
-    assert view.share("files", 2) == 0.0
+    view = LoadShedder()
+    view.update([PressureReport("books", (("shop", 1),), (("books", 1, 0.5),))])
+    assert view.shed_ratio("shop", 2) == 0.5
+    assert view.shed_ratio("shop", 1) == 0.0
+    assert view.shed_ratio("files", 2) == 0.0
 
 
 def test_refusals_of_less_urgent_requests_do_not_press() -> None:
-    view = PressureView()
-    view.update([Report("books", (("shop", 1),), (("books", 3, 0.5),))])
-    assert view.share("shop", 2) == 0.0
+    view = LoadShedder()
+    view.update([PressureReport("books", (("shop", 1),), (("books", 3, 0.5),))])
+    assert view.shed_ratio("shop", 2) == 0.0
 
 
 def test_refusals_of_services_without_callers_do_not_press() -> None:
-    view = PressureView()
-    view.update([Report("books", (), (("books", 1, 0.5),))])
-    assert view.share("shop", 2) == 0.0
+    view = LoadShedder()
+    view.update([PressureReport("books", (), (("books", 1, 0.5),))])
+    assert view.shed_ratio("shop", 2) == 0.0
 
 
 def test_never_more_than_half_is_shed() -> None:
-    view = PressureView()
-    view.update([Report("books", (("shop", 1),), (("books", 1, 0.95),))])
-    assert view.share("shop", 2) == 0.5
+    view = LoadShedder()
+    view.update([PressureReport("books", (("shop", 1),), (("books", 1, 0.95),))])
+    assert view.shed_ratio("shop", 2) == 0.5
--- a/tests/test_mesh_queue.py
+++ b/tests/test_mesh_queue.py
@@ -40,11 +40,11 @@
     runs = [beside.submit(Listener()) for _ in range(8)]
     beside.loop.run_due()
     beside.inbound.keep(ClientConnection())
-    assert [run.may_run for run in runs] == [True] * 4 + [False] * 4
+    assert [run.may_have_run for run in runs] == [True] * 4 + [False] * 4
     for run in runs:
         run.cancel()
     beside.loop.run_due()
-    assert [run.may_run for run in runs] == [True] * 4 + [False] * 4
+    assert [run.may_have_run for run in runs] == [True] * 4 + [False] * 4
     assert beside.inbound.admission.in_flight == 0
 
 
--- a/tests/test_mesh_queue_properties.py
+++ b/tests/test_mesh_queue_properties.py
@@ -15,7 +15,7 @@
 )
 
 from azurestep.mesh.backend.run import Run
-from azurestep.mesh.backend.transfers import AT_ONCE
+from azurestep.mesh.backend.transfers import MAX_CONCURRENT_TRANSFERS
 from azurestep.platform.announcement import Heartbeat
 
 from .fixtures_inbound import (
@@ -133,7 +133,7 @@
 
     @rule(number=numbers)
     def go(self, number: int) -> None:
-        self.act(number, Run.go)
+        self.act(number, Run.proceed)
 
     @rule(number=numbers)
     def send_body(self, number: int) -> None:
@@ -175,7 +175,7 @@
             BEAT, sequence=self.beats, slots=SLOTS, leaving=leaving
         )
         now_ms = self.beside.loop.now_ms - DRAIN_MS
-        self.beside.inbound.backend.announce(beat, now_ms)
+        self.beside.inbound.backend.apply_heartbeat(beat, now_ms)
 
     @precondition(lambda self: len(self.sent) > ENOUGH)
     @rule(left_ms=st.sampled_from([100.0, 600.0, 2500.0]))
@@ -198,7 +198,10 @@
         admission = self.beside.inbound.admission
         assert not admission._waiting or len(admission.running) == SLOTS
         transfers = self.beside.inbound.transfers
-        assert not transfers._waiting or len(transfers._fetching) == AT_ONCE
+        assert (
+            not transfers._waiting
+            or len(transfers._fetching) == MAX_CONCURRENT_TRANSFERS
+        )
         now_ms = self.beside.loop.now_ms
         assert not admission.late(now_ms)
         for run in transfers.waiting:
@@ -266,7 +269,7 @@
     @invariant()
     def only_live_runs_with_a_slot_are_sent_bodies(self) -> None:
         transfers = self.beside.inbound.transfers
-        assert len(transfers._fetching) <= AT_ONCE
+        assert len(transfers._fetching) <= MAX_CONCURRENT_TRANSFERS
         for run in (*transfers._fetching, *transfers._waiting):
             assert isinstance(run, Run)
             assert not run.done
--- a/tests/test_mesh_restart.py
+++ b/tests/test_mesh_restart.py
@@ -47,14 +47,14 @@
 def test_a_heartbeat_corrects_what_a_probe_found() -> None:
     backend = Backend(DRAIN_MS)
     assert backend.discover("i-1", "shop", 4)
-    backend.announce(attrs.evolve(BEAT, slots=9, cold_remaining_ms=500.0), 10.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, slots=9, cold_remaining_ms=500.0), 10.0)
     assert backend.slots == 9
     assert backend.cold_remaining_ms(10.0) == 500.0
 
 
 def test_a_probe_changes_nothing_that_was_announced() -> None:
     backend = Backend(DRAIN_MS)
-    backend.announce(BEAT, 0.0)
+    backend.apply_heartbeat(BEAT, 0.0)
     assert not backend.discover("i-2", "shop", 4)
     assert backend.instance_id == "i-1"
 
@@ -69,10 +69,10 @@
 ) -> None:
     backend = Backend(DRAIN_MS)
     if isinstance(notice, Heartbeat):
-        backend.announce(notice, 100.0)
+        backend.apply_heartbeat(notice, 100.0)
     else:
-        backend.leave(notice, 100.0)
-    backend.announce(attrs.evolve(BEAT, sequence=8), 110.0)
+        backend.apply_leaving(notice, 100.0)
+    backend.apply_heartbeat(attrs.evolve(BEAT, sequence=8), 110.0)
     assert not backend.discover("i-1", "shop", 4)
     assert not backend.admits(120.0)
 
@@ -80,7 +80,7 @@
 def test_who_leaves_after_it_was_found_has_half_the_bound() -> None:
     backend = Backend(DRAIN_MS)
     backend.discover("i-1", "shop", 4)
-    backend.leave(LeavingNotice("i-1"), 100.0)
+    backend.apply_leaving(LeavingNotice("i-1"), 100.0)
     assert not backend.is_open()
     assert backend.admits(150.0)
     assert not backend.admits(100.0 + DRAIN_MS)
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -24,24 +24,24 @@
 def test_a_caller_is_known_by_its_place_and_deadline(
     returning: ReturningCallers,
 ) -> None:
-    returning.remember(Attempt(PLACE, 0.0, 1200.0))
-    assert returning.first_ms((b"GET", b"other", b"/"), 80.0, 1200.0) == 80.0
-    assert returning.first_ms(PLACE, 80.0, 1280.0) == 80.0
-    assert returning.first_ms(PLACE, 80.0, 1202.0) == 0.0
+    returning.add(Attempt(PLACE, 0.0, 1200.0))
+    assert returning.first_attempt_ms((b"GET", b"other", b"/"), 80.0, 1200.0) == 80.0
+    assert returning.first_attempt_ms(PLACE, 80.0, 1280.0) == 80.0
+    assert returning.first_attempt_ms(PLACE, 80.0, 1202.0) == 0.0
 
 
 def test_an_attempt_comes_back_once(returning: ReturningCallers) -> None:
-    returning.remember(Attempt(PLACE, 0.0, 1200.0))
-    assert returning.first_ms(PLACE, 80.0, 1200.0) == 0.0
-    assert returning.first_ms(PLACE, 90.0, 1200.0) == 90.0
+    returning.add(Attempt(PLACE, 0.0, 1200.0))
+    assert returning.first_attempt_ms(PLACE, 80.0, 1200.0) == 0.0
+    assert returning.first_attempt_ms(PLACE, 90.0, 1200.0) == 90.0
 
 
 def test_callers_that_gave_up_are_forgotten(returning: ReturningCallers) -> None:
-    returning.remember(Attempt(PLACE, 0.0, 1200.0))
-    returning.remember(Attempt(PLACE, 500.0, 1700.0))
-    returning.forget(1300.0)
-    assert returning.first_ms(PLACE, 1300.0, 1200.0) == 1300.0
-    assert returning.first_ms(PLACE, 1300.0, 1700.0) == 500.0
+    returning.add(Attempt(PLACE, 0.0, 1200.0))
+    returning.add(Attempt(PLACE, 500.0, 1700.0))
+    returning.expire(1300.0)
+    assert returning.first_attempt_ms(PLACE, 1300.0, 1200.0) == 1300.0
+    assert returning.first_attempt_ms(PLACE, 1300.0, 1700.0) == 500.0
 
 
 async def test_the_second_attempt_of_a_caller_counts_from_its_first(
@@ -51,10 +51,10 @@
     for instance in mesh.instances:
         await instance.beat(mesh.session, "draining")
     assert (await mesh.get(asked, "/read/7", "r1", 900))[0] == 503
-    returning = asked.node.calls.returning
+    returning = asked.node.calls.returning_callers
     now_ms = asked.node.runtime.now_ms()
-    place = (b"GET", b"shop.example", b"/read/7")
-    found_ms = returning.first_ms(place, now_ms, now_ms + 895)
+    request_key = (b"GET", b"shop.example", b"/read/7")
+    found_ms = returning.first_attempt_ms(request_key, now_ms, now_ms + 895)
     assert 0 < now_ms - found_ms < 200
     assert caller_headers("r1")["Attempt-Id"] == "r1"
 
@@ -97,17 +97,19 @@
     def ask(self, now_ms: float, born_ms: float, tries: int) -> None:
         for ticket in expired(self.admission, now_ms):
             self.refused(now_ms, ticket.owner, 40.0)  # type: ignore[arg-type]
-        place = (b"%f" % born_ms,)
+        request_key = (b"%f" % born_ms,)
         ends_ms = born_ms + self.DEADLINE_MS
-        first_ms = now_ms
+        first_attempt_ms = now_ms
         if self.remembers:
-            first_ms = self.returning.first_ms(place, now_ms, ends_ms)
-        objective_at_ms = first_ms + self.OBJECTIVE_MS
+            first_attempt_ms = self.returning.first_attempt_ms(
+                request_key, now_ms, ends_ms
+            )
+        objective_deadline_ms = first_attempt_ms + self.OBJECTIVE_MS
         owner = (born_ms, tries)
-        ticket = Ticket("read", 2, now_ms, objective_at_ms, ends_ms, owner)
+        ticket = Ticket("read", 2, now_ms, objective_deadline_ms, ends_ms, owner)
         decision = self.admission.offer(ticket, now_ms)
         if isinstance(decision, Refused):
-            self.returning.remember(Attempt(place, first_ms, ends_ms))
+            self.returning.add(Attempt(request_key, first_attempt_ms, ends_ms))
             self.refused(now_ms, owner, decision.retry_after_ms)
         elif decision:
             self.run(ticket, now_ms)
@@ -165,4 +167,4 @@
         await instance.beat(mesh.session, "draining")
     await mesh.get(mesh.instances[0], "/read/9", "n2", 900)
     await mesh.get(mesh.instances[0], "/read/9", "n3", 895)
-    assert [attempt.returned for attempt in asked] == [False, False, True]
+    assert [attempt.is_retry for attempt in asked] == [False, False, True]
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -136,7 +136,7 @@
     left_ms = float(serving.server.received[-1].headers["deadline-milliseconds"])
     plan = stopping.node.shutdown.plan
     assert plan is not None
-    assert left_ms <= plan.answer_by_ms - plan.since_ms
+    assert left_ms <= plan.drain_deadline_ms - plan.since_ms
 
 
 class FullTransport:
@@ -319,7 +319,7 @@
         caller.connect((stopping.host, CALLER_PORT))
         caller.sendall(get_bytes("w1"))
         caller.setblocking(False)
-        stopping.node.shutdown.advance(plan.refuses_from_ms)
+        stopping.node.shutdown.advance(plan.refuse_from_ms)
         answer = await asyncio.wait_for(loop.sock_recv(caller, 65_536), 2)
     assert answer.startswith(b"HTTP/1.1 503 ")
     assert (await held)[0] == 200
--- a/tests/test_mesh_uploads.py
+++ b/tests/test_mesh_uploads.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from azurestep.mesh.backend.transfers import AT_ONCE, Transfers
+from azurestep.mesh.backend.transfers import MAX_CONCURRENT_TRANSFERS, BodyTransfers
 from azurestep.mesh.callers.body import BULK_BYTES
 from azurestep.mesh.links.connection import PeerConnection
 from azurestep.mesh.messages import Kind
@@ -23,38 +23,40 @@
 
 
 @pytest.fixture
-def transfers() -> Transfers:
-    return Transfers()
+def transfers() -> BodyTransfers:
+    return BodyTransfers()
 
 
-def test_only_a_few_bodies_are_fetched_at_once(transfers: Transfers) -> None:
-    fetches = [Fetch() for _ in range(AT_ONCE + 2)]
-    assert [transfers.begin(one) for one in fetches] == [True] * AT_ONCE + [False] * 2
+def test_only_a_few_bodies_are_fetched_at_once(transfers: BodyTransfers) -> None:
+    fetches = [Fetch() for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
+    assert [transfers.begin(one) for one in fetches] == [
+        True
+    ] * MAX_CONCURRENT_TRANSFERS + [False] * 2
     assert transfers.start_next() is None
     transfers.end(fetches[0])
-    assert transfers.start_next() is fetches[AT_ONCE]
+    assert transfers.start_next() is fetches[MAX_CONCURRENT_TRANSFERS]
     assert transfers.start_next() is None
 
 
-def test_who_gives_up_while_it_waits_is_not_asked(transfers: Transfers) -> None:
-    fetches = [Fetch() for _ in range(AT_ONCE + 2)]
+def test_who_gives_up_while_it_waits_is_not_asked(transfers: BodyTransfers) -> None:
+    fetches = [Fetch() for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
     for one in fetches:
         transfers.begin(one)
-    transfers.end(fetches[AT_ONCE])
+    transfers.end(fetches[MAX_CONCURRENT_TRANSFERS])
     transfers.end(fetches[0])
-    assert transfers.start_next() is fetches[AT_ONCE + 1]
+    assert transfers.start_next() is fetches[MAX_CONCURRENT_TRANSFERS + 1]
     assert transfers.start_next() is None
 
 
 def test_nobody_overtakes_those_that_wait_for_a_free_place(
-    transfers: Transfers,
+    transfers: BodyTransfers,
 ) -> None:
-    fetches = [Fetch() for _ in range(AT_ONCE + 2)]
+    fetches = [Fetch() for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
     for one in fetches[:-1]:
         transfers.begin(one)
     transfers.end(fetches[0])
     assert not transfers.begin(fetches[-1])
-    assert transfers.start_next() is fetches[AT_ONCE]
+    assert transfers.start_next() is fetches[MAX_CONCURRENT_TRANSFERS]
 
 
 async def upload(mesh: MeshFleet, instance: MeshInstance, name: str) -> int:
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -716,11 +716,11 @@
 
 def test_death_of_a_backend_server_as_other_nodes_hear_it() -> None:
     told: list[Any] = []
-    watch = crashes.CrashWatch(
+    tracker = crashes.CrashTracker(
         "10.0.0.1", lambda name, news: told.append([name, news]), lambda service: 5
     )
-    watch.lost(request(True), 100.0)
-    watch.died("songs", Incarnation(b"i-1", 77), 110.0)
+    tracker.record_lost(request(True), 100.0)
+    tracker.record_death("songs", Incarnation(b"i-1", 77), 110.0)
     [[service, news]] = told
     check("told_crashes", [service, crashes.encode_updates(news)])
 
