--- a/azurestep/mesh/callers/answer_writer.py
+++ b/azurestep/mesh/callers/answer_writer.py
@@ -21,7 +21,7 @@
         self._chunked = False
         self._untaken = 0
 
-    def whole(self, answer: Answer) -> None:
+    def write_whole(self, answer: Answer) -> None:
         """Write an answer that came whole."""
         self._exchange.answer(answer.status, answer.headers, answer.body)
 
@@ -45,7 +45,7 @@
             self._exchange.write(LAST_CHUNK)
         self._exchange.finish()
 
-    def break_off(self) -> None:
+    def reset(self) -> None:
         """End a long answer so that it can't look complete."""
         self._exchange.reset()
 
--- a/azurestep/mesh/callers/body.py
+++ b/azurestep/mesh/callers/body.py
@@ -7,7 +7,7 @@
 BUFFER_BYTES = 524_288
 """Bodies up to this size are read whole before they are sent, so that a request
 that was refused can be sent to another backend server; longer ones are streamed."""
-BULK_BYTES = 16_384
+LARGE_BODY_BYTES = 16_384
 """Bodies above this size wait for a slot beside the backend server before they are
 sent. Sent along with the request, uploads of 60 KB that were refused or doubted were
 sent again elsewhere until links of 10 Mbit/s kept probes waiting for over 650 ms and
@@ -50,7 +50,7 @@
     @property
     def is_bulk(self) -> bool:
         """Whether it is sent only once there is a slot for the request."""
-        return self.size_bytes > BULK_BYTES and not self.streamed
+        return self.size_bytes > LARGE_BODY_BYTES and not self.streamed
 
     def sent(self, data: bytes) -> bool:
         """Count a piece that was passed on; return whether the window is full."""
--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -67,7 +67,7 @@
             context.drain_deadline_ms,
             self._on_timer,
         )
-        context.under_way.add(self)
+        context.calls_in_flight.add(self)
 
     # From the caller's connection.
 
@@ -115,7 +115,7 @@
         if endpoint is None:
             self._give_up()
             return
-        request = self._outgoing.request(now_ms, self._deadline.ends_ms, endpoint)
+        request = self._outgoing.request(now_ms, self._deadline.deadline_ms, endpoint)
         if context.crashes.is_quarantined(request, now_ms):
             self._refuse(Reason.QUARANTINED, QUARANTINE_RETRY_AFTER_MS)
             return
@@ -152,19 +152,19 @@
         if self._outgoing.sends_later(endpoint):
             self._stream.body(self._body.content(), True)
 
-    def on_doubt(self, let_go: bool) -> None:
+    def on_unresponsive(self, confirmed: bool) -> None:
         """Go elsewhere, if that is safe and there is another way."""
         endpoint = self._placement.endpoint
         if self.done or self._writer.started or self._body.streamed or endpoint is None:
             return
         if self._withdrawn or not self._placement.has_other():
             return
-        if let_go and not self._doubt_allows_run():
+        if confirmed and not self._doubt_allows_run():
             return
         stream, self._stream = self._stream, None
         self._placement.leave()
         self._placement.exclude(endpoint)
-        if stream is not None and let_go:
+        if stream is not None and confirmed:
             self._former = FormerRun(self, stream, endpoint)
             stream.replace_receiver(self._former)
         elif stream is not None:
@@ -348,7 +348,7 @@
         if answer.whole:
             self._close(cancel=False)
             self._ending.answered(answer.status)
-            self._writer.whole(answer)
+            self._writer.write_whole(answer)
             return
         self.record.log_end(answer.status, self._now_ms())
         self._writer.begin(answer)
@@ -367,12 +367,12 @@
         now_ms = self._now_ms()
         if (
             self.record.runs >= self.route.max_attempts
-            or now_ms >= self._deadline.ends_ms
+            or now_ms >= self._deadline.deadline_ms
         ):
             return False
         if self.record.asked >= ASKED_MOST:
             return False
-        return self.context.budget.spend(self.service, now_ms)
+        return self.context.retry_budget.spend(self.service, now_ms)
 
     def _give_up(self) -> None:
         refusal = self._refusal
@@ -398,10 +398,10 @@
         self._close(cancel=True)
         self._ending.failed(reason)
 
-    def end_by(self, drain_deadline_ms: float) -> None:
+    def limit_deadline(self, drain_deadline_ms: float) -> None:
         """Answer by then: this node is stopping."""
         if not self._withdrawn:
-            self._deadline.end_by(drain_deadline_ms)
+            self._deadline.limit_deadline(drain_deadline_ms)
 
     def _on_timer(self) -> None:
         try:
@@ -453,7 +453,7 @@
         self._close(cancel=True)
         self._ending.failed(self._late_reason(Reason.TIMEOUT), GATEWAY_TIMEOUT)
 
-    def log_cut(self) -> None:
+    def log_aborted(self) -> None:
         """Log that the node ends before the answer; its connection ends with it."""
         self._ending.cut()
 
@@ -467,7 +467,7 @@
 
     def _close(self, cancel: bool) -> None:
         self.done = True
-        self.context.under_way.discard(self)
+        self.context.calls_in_flight.discard(self)
         self._deadline.cancel()
         self._placement.leave()
         self._drop_former()
--- a/azurestep/mesh/callers/context.py
+++ b/azurestep/mesh/callers/context.py
@@ -21,10 +21,10 @@
 class OpenCall(Protocol):
     """An attempt that is not answered yet."""
 
-    def end_by(self, drain_deadline_ms: float) -> None:
+    def limit_deadline(self, drain_deadline_ms: float) -> None:
         """Answer by then: the node is stopping."""
 
-    def log_cut(self) -> None:
+    def log_aborted(self) -> None:
         """Log that the node ends before the answer."""
 
 
@@ -36,7 +36,7 @@
     ----------
     calling_service : str
         Service of this instance, which backend servers are told.
-    under_way : set of OpenCall
+    calls_in_flight : set of OpenCall
         Attempts that are not answered yet.
     drain_deadline_ms : float
         When the last of them is answered; a time only once the node is stopping.
@@ -44,23 +44,23 @@
 
     runtime: Runtime
     members: Members
-    budget: RetryBudget
+    retry_budget: RetryBudget
     calling_service: str
     crashes: CrashTracker
     mean_run_times: MeanRunTimes = attrs.field(factory=MeanRunTimes)
     returning_callers: ReturningCallers = attrs.field(factory=ReturningCallers)
     answer_sizes: AnswerSizes = attrs.field(factory=AnswerSizes)
     refusals: RefusalMeter = attrs.field(factory=RefusalMeter)
-    under_way: set[OpenCall] = attrs.field(factory=set)
+    calls_in_flight: set[OpenCall] = attrs.field(factory=set)
     drain_deadline_ms: float = math.inf
 
-    def end_by(self, drain_deadline_ms: float) -> None:
+    def limit_deadline(self, drain_deadline_ms: float) -> None:
         """Answer all attempts by then, those that come later too."""
         self.drain_deadline_ms = drain_deadline_ms
-        for call in list(self.under_way):
-            call.end_by(drain_deadline_ms)
+        for call in list(self.calls_in_flight):
+            call.limit_deadline(drain_deadline_ms)
 
-    def attempt(self, exchange: Exchange, caller: CallerFields) -> Attempt:
+    def identify_attempt(self, exchange: Exchange, caller: CallerFields) -> Attempt:
         """Return what a request that has just come is an attempt of."""
         now_ms = self.runtime.now_ms()
         request_key = (exchange.method, caller.host, exchange.target)
@@ -77,8 +77,8 @@
     def offered(self, route: Route, service: str) -> None:
         """Count a request for a service."""
         self.refusals.record_offered(route.name, service, route.priority)
-        self.budget.members = self.members.count()
-        self.budget.earn(service)
+        self.retry_budget.members = self.members.count()
+        self.retry_budget.earn(service)
 
 
 @attrs.frozen(slots=True)
--- a/azurestep/mesh/callers/ending.py
+++ b/azurestep/mesh/callers/ending.py
@@ -50,7 +50,7 @@
         """Answer that the request may have run, or break its answer off."""
         self._count_failed(reason, status)
         if self.writer.started:
-            self.writer.break_off()
+            self.writer.reset()
         else:
             self.exchange.answer(status, id_header(self.record.request_id), b"")
 
--- a/azurestep/mesh/callers/former_run.py
+++ b/azurestep/mesh/callers/former_run.py
@@ -64,7 +64,7 @@
     def on_slot_ready(self) -> None:
         """Ignore; it was let go long ago."""
 
-    def on_doubt(self, let_go: bool) -> None:
+    def on_unresponsive(self, confirmed: bool) -> None:
         """Ignore; its request has moved already."""
 
     def on_fault(self) -> None:
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -57,7 +57,7 @@
             exchange.sink = Rejection(context.runtime, exchange, name, BAD_REQUEST)
             return
         service = table.choose_service(route)
-        attempt = context.attempt(exchange, caller)
+        attempt = context.identify_attempt(exchange, caller)
         if self._sheds(service, route.priority):
             exchange.sink = Rejection(
                 context.runtime,
--- a/azurestep/mesh/callers/outgoing.py
+++ b/azurestep/mesh/callers/outgoing.py
@@ -6,7 +6,7 @@
 from ...platform.headers import CallerFields
 from ..decisions.choice import Endpoint, SelectionCriteria
 from ..messages import Request
-from .body import BULK_BYTES, RequestBody
+from .body import LARGE_BODY_BYTES, RequestBody
 from .context import CallContext
 from .record import CallRecord
 
@@ -33,8 +33,8 @@
             context.members.data_centre,
         )
 
-    def request(self, now_ms: float, ends_ms: float, endpoint: Endpoint) -> Request:
-        """Return the request for a backend server, which has until ``ends_ms``."""
+    def request(self, now_ms: float, deadline_ms: float, endpoint: Endpoint) -> Request:
+        """Return the request for a backend server, which has until ``deadline_ms``."""
         exchange, body = self.exchange, self.body
         record, route = self.record, self.record.route
         bulk = self.sends_later(endpoint)
@@ -49,7 +49,7 @@
             self.context.calling_service.encode(),
             route.idempotent,
             route.priority,
-            ends_ms - now_ms,
+            deadline_ms - now_ms,
             record.objective_ms(now_ms),
             now_ms,
             -1 if exchange.chunked else exchange.length,
@@ -69,7 +69,7 @@
         that wait. They are run again after a failure that is certain.
         """
         answer_bytes = self.context.answer_sizes.mean_kib(self.record.route.name) * 1024
-        return self.record.route.idempotent and answer_bytes <= BULK_BYTES
+        return self.record.route.idempotent and answer_bytes <= LARGE_BODY_BYTES
 
     def sends_later(self, endpoint: Endpoint) -> bool:
         """Whether the body is sent only once the other node asks for it."""
--- a/azurestep/mesh/callers/own_answers.py
+++ b/azurestep/mesh/callers/own_answers.py
@@ -29,7 +29,7 @@
     exchange.answer(UNAVAILABLE, headers, b"")
 
 
-def answer_failed(exchange: Exchange) -> None:
+def answer_bad_gateway(exchange: Exchange) -> None:
     """Answer after a fault of this program: the request may have run."""
     headers = id_header(read_caller(exchange.headers).request_id)
     exchange.answer(BAD_GATEWAY, headers, b"")
--- a/azurestep/mesh/knowledge/configuration.py
+++ b/azurestep/mesh/knowledge/configuration.py
@@ -11,8 +11,8 @@
 from ...routing.table import RoutingTable
 from .. import events
 
-STORE = "store"
-PEER = "node"
+SOURCE_STORE = "store"
+SOURCE_PEER = "node"
 """Where a document came from."""
 
 
@@ -26,7 +26,7 @@
         Called after a version came into force.
     content : bytes
         The document as the operators wrote it.
-    version_read : int
+    store_version : int
         Newest version that this node read from the store itself; 0 for none.
     """
 
@@ -34,18 +34,18 @@
     table: RoutingTable | None = None
     random: Random = attrs.field(factory=Random)
     content: bytes = b""
-    version_read: int = 0
+    store_version: int = 0
 
     @property
     def version(self) -> int:
         """Version in force; 0 for none."""
         return 0 if self.table is None else self.table.version
 
-    def names_service(self, service: str) -> bool:
+    def allows_service(self, service: str) -> bool:
         """Whether a service may be routed to; any may while no version is known."""
         return self.table is None or service in self.table.services
 
-    def offer(self, content: bytes, source: str) -> bool:
+    def apply_if_newer(self, content: bytes, source: str) -> bool:
         """Put a document in force if it is newer; return whether it is."""
         if content == self.content:
             return False
@@ -58,8 +58,8 @@
             return False
         self.table = self._table_of(document)
         self.content = content
-        if source == STORE:
-            self.version_read = document.version
+        if source == SOURCE_STORE:
+            self.store_version = document.version
         events.log(
             events.VERSION,
             version=document.version,
--- a/azurestep/mesh/knowledge/following.py
+++ b/azurestep/mesh/knowledge/configuration_watcher.py
@@ -21,7 +21,7 @@
 from .. import events
 from ..links.members import Members
 from ..runtime import Runtime
-from .configuration import STORE, Configuration
+from .configuration import SOURCE_STORE, Configuration
 
 POLL_MS = 1000
 """Length of a long poll. A reader whose connection went silent knows it after this
@@ -37,7 +37,7 @@
 
 
 @attrs.define(eq=False)
-class Follower:
+class ConfigurationWatcher:
     """Keeps this node's configuration up to date.
 
     Attributes
@@ -70,14 +70,14 @@
                 continue
             await asyncio.sleep(self._failed_pause_s())
 
-    def news(self) -> None:
+    def wake(self) -> None:
         """Look at once whether this node should read."""
         self._woken.set()
 
     def tick(self, now_ms: float) -> None:
         """Ask another node for a version that this one lacks."""
         newest = None
-        for link in self.members.alive():
+        for link in self.members.live_links():
             version = link.state.configuration_version if link.state is not None else 0
             if version <= self.configuration.version:
                 continue
@@ -100,7 +100,7 @@
         own = self.members.own_address[0]
         return [
             link.address[0]
-            for link in self.members.alive()
+            for link in self.members.live_links()
             if link.endpoint.data_centre == self.members.data_centre
             and link.address[0] < own
             and link.state is not None
@@ -137,7 +137,7 @@
             return False
         if keyed.key != CONFIGURATION_KEY or not keyed.value:
             return False
-        return self.configuration.offer(keyed.value, STORE)
+        return self.configuration.apply_if_newer(keyed.value, SOURCE_STORE)
 
     async def _read_newest(self) -> bool:
         outcome = await self.client.read_latest(OPERATOR_TOPIC)
@@ -154,7 +154,7 @@
             )
         for item in outcome.items:
             if item.key == CONFIGURATION_KEY and item.value:
-                self.configuration.offer(item.value, STORE)
+                self.configuration.apply_if_newer(item.value, SOURCE_STORE)
         return True
 
     async def _pause(self, seconds: float) -> None:
@@ -170,7 +170,7 @@
         self._failures += 1
         first = all(
             link.address[0] > self.members.own_address[0]
-            for link in self.members.alive()
+            for link in self.members.live_links()
             if link.endpoint.data_centre == self.members.data_centre
         )
         if not first and self.configuration.version:
--- a/azurestep/mesh/knowledge/discovery.py
+++ b/azurestep/mesh/knowledge/discovery.py
@@ -60,7 +60,7 @@
             attempts += 1
         self.done = True
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Drop this node's address, which nobody needs to dial any more.
 
         One attempt: if it is lost, others dial the address in vain. If it is carried
@@ -96,7 +96,7 @@
         if not value:
             return
         try:
-            self.members.learn(read_member(host, value))
+            self.members.add(read_member(host, value))
         except MessageMalformedError as error:
             events.log(events.PEER_MALFORMED, peer=host[:80], cause=error.problem)
 
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -63,7 +63,7 @@
     ----------
     movable : bool
         Whether it may go elsewhere when the link falls silent, though it may have run.
-    let_go : bool
+    confirmed : bool
         Whether the other node may have sent it to its backend server.
     """
 
@@ -71,7 +71,7 @@
     number: int
     receiver: CallReceiver
     movable: bool
-    let_go: bool
+    confirmed: bool
     request_id: bytes = b""
 
     def body(self, data: bytes, whole: bool) -> None:
@@ -87,7 +87,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether the request may have run, or may run yet."""
-        return self.let_go
+        return self.confirmed
 
     def withdraw(self) -> None:
         """Stop the request and have the other node say whether it had not run."""
@@ -162,7 +162,7 @@
             self._next,
             receiver,
             movable=request.idempotent and not request.needs_confirmation,
-            let_go=not request.needs_confirmation,
+            confirmed=not request.needs_confirmation,
             request_id=request.request_id,
         )
         self.streams[self._next] = stream
@@ -181,13 +181,13 @@
         """Whether something came since the last probe."""
         return self.received_ms >= self.pinged_ms
 
-    def doubt(self) -> None:
+    def mark_unresponsive(self) -> None:
         """Let the senders of all requests look for another way."""
         for stream in list(self.streams.values()):
             self._doubt(stream)
 
     def _doubt(self, stream: RemoteStream) -> None:
-        self._tell(stream, stream.receiver.on_doubt, stream.let_go)
+        self._tell(stream, stream.receiver.on_unresponsive, stream.confirmed)
 
     def _tell(
         self, stream: RemoteStream, hear: Callable[[Any], None], news: object
@@ -221,9 +221,9 @@
         was on the way; on a stopping node that cuts a caller's request.
         """
         for number, stream in list(self.streams.items()):
-            if stream.let_go and stream.movable:
+            if stream.confirmed and stream.movable:
                 self._doubt(stream)
-            elif not stream.let_go:
+            elif not stream.confirmed:
                 self.send(Kind.CANCEL, number)
                 self._fail(number, stream)
         self._retired = True
@@ -245,7 +245,7 @@
         if self.streams.pop(number, None) is None:
             return
         receiver, reason = stream.receiver, int(Reason.LINK_LOST)
-        if stream.let_go:
+        if stream.confirmed:
             self._tell(stream, receiver.on_failure, Failure(reason, 0))
         else:
             self._tell(stream, receiver.on_refusal, Refusal(reason, 0, 0.0))
@@ -284,7 +284,7 @@
         stream.receiver.on_failure(failure)
 
     def _ready(self, stream: RemoteStream, _: SlotReady) -> None:
-        stream.let_go = True
+        stream.confirmed = True
         self.send(Kind.PROCEED, stream.number)
         stream.receiver.on_slot_ready()
 
--- a/azurestep/mesh/links/server.py
+++ b/azurestep/mesh/links/incoming.py
@@ -33,7 +33,7 @@
 )
 from ..runtime import Runtime
 from .decoding import OF_CALLING_NODES, WHOLE_LINK, Decoder, Message
-from .remote_receiver import RemoteReceiver
+from .outcome_forwarder import OutcomeForwarder
 
 PONG = encode(Kind.PONG)
 STALE_MS = 100.0
@@ -47,7 +47,7 @@
 
 
 @attrs.define(eq=False)
-class PeerListener:
+class IncomingLinks:
     """What all links that other nodes opened share.
 
     Attributes
@@ -58,7 +58,7 @@
         Called with the greeting of a node that opened a link.
     configuration : Callable
         Returns version and content of the configuration in force.
-    version_read : Callable
+    store_version : Callable
         Returns the newest version that this node read from the store itself.
     """
 
@@ -68,36 +68,36 @@
     state: Callable[[], State]
     on_peer: Callable[[Hello], None]
     configuration: Callable[[], tuple[int, bytes]]
-    version_read: Callable[[], int]
+    store_version: Callable[[], int]
     data_centre: str
-    servers: "set[PeerServer]" = attrs.field(factory=set)
+    links: "set[IncomingLink]" = attrs.field(factory=set)
     _urgent: tuple[object, ...] = ()
     _near: ReportPacer = attrs.field(factory=lambda: ReportPacer(LOCAL_REPORTS_PER_S))
     _far: ReportPacer = attrs.field(factory=lambda: ReportPacer(REMOTE_REPORTS_PER_S))
 
     @property
-    def busy(self) -> bool:
+    def has_unsent_outcomes(self) -> bool:
         """Whether an outcome for another node has not left.
 
         A process that ends drops what its send buffers hold: 24 of 40 answers behind a
         slow link came out as failures at the node that had asked.
         """
-        return any(server.owes_outcome for server in self.servers)
+        return any(server.owes_outcome for server in self.links)
 
     def broadcast_state(self) -> None:
         """Tell all nodes the state of this one: what matters at once, load in turn."""
         state = self.state()
         data = encode(Kind.STATE, *fields_of(state))
         now_ms = self.runtime.now_ms()
-        urgent = (self.version_read(), *_urgent(state))
+        urgent = (self.store_version(), *_urgent(state))
         if urgent != self._urgent:
             self._urgent = urgent
             self._near.mark_sent(data, now_ms)
             self._far.mark_sent(data, now_ms)
-            self._write(self.servers, data)
+            self._write(self.links, data)
             return
-        near = {server for server in self.servers if self._is_near(server)}
-        far = self.servers - near
+        near = {server for server in self.links if self._is_near(server)}
+        far = self.links - near
         if self._near.is_due(data, len(near), now_ms):
             self._write(near, data)
         if self._far.is_due(data, len(far), now_ms):
@@ -111,21 +111,19 @@
         """
         version, content = self.configuration()
         data = encode(Kind.CONFIGURATION, version, compress(content))
-        self._write({one for one in self.servers if self._is_near(one)}, data)
+        self._write({one for one in self.links if self._is_near(one)}, data)
 
-    def _is_near(self, server: "PeerServer") -> bool:
+    def _is_near(self, server: "IncomingLink") -> bool:
         peer = server.peer
         return peer is not None and peer.data_centre == self.data_centre
 
-    def _write(self, servers: "set[PeerServer]", data: bytes) -> None:
-        for server in servers:
+    def _write(self, links: "set[IncomingLink]", data: bytes) -> None:
+        for server in links:
             server.write(data)
 
-    def tell_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
+    def broadcast_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
         """Tell all nodes which requests were under way as a backend server died."""
-        self._write(
-            self.servers, encode(Kind.CRASHES, service, encode_updates(updates))
-        )
+        self._write(self.links, encode(Kind.CRASHES, service, encode_updates(updates)))
 
 
 def _urgent(state: State) -> tuple[object, ...]:
@@ -146,11 +144,11 @@
     )
 
 
-class PeerServer(asyncio.Protocol):
+class IncomingLink(asyncio.Protocol):
     """One link that another node opened."""
 
-    def __init__(self, listener: PeerListener) -> None:
-        self.listener = listener
+    def __init__(self, incoming_links: IncomingLinks) -> None:
+        self.incoming_links = incoming_links
         self.peer: Hello | None = None
         self._decoder = Decoder(OF_CALLING_NODES)
         self._transport: asyncio.Transport | None = None
@@ -161,17 +159,17 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Greet the other node and tell it this one's state."""
         self._transport = transport  # type: ignore[assignment]
-        listener = self.listener
-        listener.servers.add(self)
-        self.send(Kind.HELLO, *fields_of(listener.hello()))
-        self.send(Kind.STATE, *fields_of(listener.state()))
-        crashes = listener.inbound.crashes
-        for service, updates in crashes.export(listener.runtime.now_ms()):
+        incoming_links = self.incoming_links
+        incoming_links.links.add(self)
+        self.send(Kind.HELLO, *fields_of(incoming_links.hello()))
+        self.send(Kind.STATE, *fields_of(incoming_links.state()))
+        crashes = incoming_links.inbound.crashes
+        for service, updates in crashes.export(incoming_links.runtime.now_ms()):
             self.send(Kind.CRASHES, service, encode_updates(updates))
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Stop what nobody waits for any more."""
-        self.listener.servers.discard(self)
+        self.incoming_links.links.discard(self)
         runs, self._runs = self._runs, {}
         for run in runs.values():
             self._cancel_lost(run)
@@ -181,7 +179,7 @@
             run.cancel()
         except Exception as error:
             name = run.request.request_id
-            self.listener.runtime.report_fault("link_in", error, id=name)
+            self.incoming_links.runtime.report_fault("link_in", error, id=name)
 
     def data_received(self, data: bytes) -> None:
         """Take messages."""
@@ -201,7 +199,7 @@
         server. Its sender is told in any case; where it was told before, it passes
         this by.
         """
-        runtime = self.listener.runtime
+        runtime = self.incoming_links.runtime
         run = self._runs.pop(stream, None)
         request = message if run is None else run.request
         name = request.request_id if isinstance(request, Request) else b""
@@ -209,7 +207,7 @@
         if run is not None:
             runtime.run_guarded("run", run.cancel)
         if stream != WHOLE_LINK:
-            in_flight = self.listener.inbound.admission.in_flight
+            in_flight = self.incoming_links.inbound.admission.in_flight
             self.send(Kind.FAILURE, stream, int(Reason.FAULT), in_flight)
 
     def send(self, kind: Kind, *fields: object) -> None:
@@ -250,8 +248,8 @@
                 remaining_ms=request.remaining_ms - late_ms,
                 objective_ms=request.objective_ms - late_ms,
             )
-        receiver = RemoteReceiver(self, stream)
-        run = self.listener.inbound.submit(request, receiver)
+        receiver = OutcomeForwarder(self, stream)
+        run = self.incoming_links.inbound.submit(request, receiver)
         if not run.done:
             self._runs[stream] = run
 
@@ -261,10 +259,10 @@
 
     def _greet(self, _: int, hello: Hello) -> None:
         self.peer = hello
-        self.listener.on_peer(hello)
+        self.incoming_links.on_peer(hello)
 
     def _tell_configuration(self, _: int, wanted: ConfigurationQuery) -> None:
-        version, content = self.listener.configuration()
+        version, content = self.incoming_links.configuration()
         self.send(Kind.CONFIGURATION, version, compress(content))
 
     def _go(self, stream: int, _: Proceed) -> None:
@@ -293,7 +291,7 @@
             run.body(body.data, body.whole)
 
     def _delay_ms(self, sent_ms: float) -> float:
-        delay_ms = self.listener.runtime.now_ms() - sent_ms
+        delay_ms = self.incoming_links.runtime.now_ms() - sent_ms
         least_ms = self._least_delay_ms
         if least_ms is None or delay_ms < least_ms:
             self._least_delay_ms = delay_ms
@@ -303,16 +301,16 @@
         return late_ms
 
 
-HANDLERS: dict[type, Callable[[PeerServer, int, Any], None]] = {
-    Request: PeerServer._request,
-    Ping: PeerServer._ping,
-    Body: PeerServer._body,
-    Cancel: PeerServer._cancel,
-    Withdraw: PeerServer._withdraw,
-    Proceed: PeerServer._go,
-    Credit: PeerServer._grant,
-    Hello: PeerServer._greet,
-    ConfigurationQuery: PeerServer._tell_configuration,
+HANDLERS: dict[type, Callable[[IncomingLink, int, Any], None]] = {
+    Request: IncomingLink._request,
+    Ping: IncomingLink._ping,
+    Body: IncomingLink._body,
+    Cancel: IncomingLink._cancel,
+    Withdraw: IncomingLink._withdraw,
+    Proceed: IncomingLink._go,
+    Credit: IncomingLink._grant,
+    Hello: IncomingLink._greet,
+    ConfigurationQuery: IncomingLink._tell_configuration,
 }
 """What is done with a message, by its type: a table costs less than ``singledispatch``,
 and each request passes here several times."""
--- a/azurestep/mesh/links/interfaces.py
+++ b/azurestep/mesh/links/interfaces.py
@@ -33,12 +33,12 @@
 class CallReceiver(AnswerReceiver, Protocol):
     """What sent a request over a link."""
 
-    def on_doubt(self, let_go: bool) -> None:
+    def on_unresponsive(self, confirmed: bool) -> None:
         """Learn that the node owes a sign of life.
 
         Parameters
         ----------
-        let_go : bool
+        confirmed : bool
             Whether the request may have run; False if it surely has not.
         """
 
--- a/azurestep/mesh/links/link.py
+++ b/azurestep/mesh/links/link.py
@@ -14,11 +14,11 @@
 from .connection import BUSY_PING_MS, PeerConnection
 from .interfaces import CallReceiver, PeerNews, Stream
 
-DOUBT_MS = 200.0
+UNRESPONSIVE_AFTER_MS = 200.0
 """Time without an answer to a probe after which a node gets no new requests. An
 answer takes some 3 ms; a node that gets its processor in tenths of a second may
 take 100 ms."""
-LOST_MS = 650.0
+LOST_AFTER_MS = 650.0
 """Time without an answer to a probe after which a node counts as lost, with room for
 one that runs several times slower for a moment."""
 DIAL_TIMEOUT_S = 1.0
@@ -93,12 +93,12 @@
             return
         waited_ms = now_ms - connection.pinged_ms
         answered = connection.answered
-        unresponsive = not answered and waited_ms > DOUBT_MS
+        unresponsive = not answered and waited_ms > UNRESPONSIVE_AFTER_MS
         if unresponsive and not self.endpoint.unresponsive:
             self.endpoint.unresponsive = True
-            connection.doubt()
+            connection.mark_unresponsive()
         self.endpoint.unresponsive = unresponsive
-        if not answered and waited_ms > LOST_MS:
+        if not answered and waited_ms > LOST_AFTER_MS:
             self._lose(connection, "silent")
             connection.retire()
         elif answered:
@@ -108,7 +108,7 @@
             if waited_ms >= pause_ms:
                 connection.ping()
 
-    def excuse(self, pause_ms: float) -> None:
+    def discount_pause(self, pause_ms: float) -> None:
         """Leave out a pause of this node's own from the silence of the other."""
         if self.connection is not None:
             self.connection.received_ms += pause_ms
--- a/azurestep/mesh/links/members.py
+++ b/azurestep/mesh/links/members.py
@@ -55,7 +55,7 @@
             self.own_address, "", NO_INCARNATION, self.data_centre, open=False
         )
 
-    def learn(self, address: Address) -> None:
+    def add(self, address: Address) -> None:
         """Open a link to a node unless there is one."""
         if address == self.own_address:
             return
@@ -93,7 +93,7 @@
         link = self.links.get(endpoint.key)  # type: ignore[call-overload]
         return None if link is None else link.send(request, receiver)
 
-    def alive(self) -> Iterator[PeerLink]:
+    def live_links(self) -> Iterator[PeerLink]:
         """Yield the links to nodes that answer."""
         return (link for link in self.links.values() if link.up)
 
@@ -111,12 +111,12 @@
                 continue
             link.idle_probe_interval_ms = pause_ms
             self.runtime.run_guarded("tick", link.tick, now_ms)
-        self._count = 1 + sum(1 for _ in self.alive())
+        self._count = 1 + sum(1 for _ in self.live_links())
 
-    def excuse(self, pause_ms: float) -> None:
+    def discount_pause(self, pause_ms: float) -> None:
         """Leave out a pause of this node's own from the silence of the others."""
         for link in self.links.values():
-            link.excuse(pause_ms)
+            link.discount_pause(pause_ms)
 
     def close(self) -> None:
         """Close all links."""
--- a/azurestep/mesh/links/remote_receiver.py
+++ b/azurestep/mesh/links/outcome_forwarder.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define(eq=False)
-class RemoteReceiver:
+class OutcomeForwarder:
     """Sends the outcome of one request back over the link."""
 
     server: OutcomeSender
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -24,14 +24,14 @@
 from .backend.state import Backend
 from .callers.context import CallContext
 from .callers.outbound import Outbound
-from .callers.own_answers import answer_failed
+from .callers.own_answers import answer_bad_gateway
 from .decisions.pressure import PressureReport
 from .decisions.retry_budget import RetryBudget
-from .knowledge.configuration import PEER, Configuration
+from .knowledge.configuration import SOURCE_PEER, Configuration
+from .knowledge.configuration_watcher import ConfigurationWatcher
 from .knowledge.discovery import Discovery
-from .knowledge.following import Follower
+from .links.incoming import IncomingLink, IncomingLinks
 from .links.members import Members
-from .links.server import PeerListener, PeerServer
 from .messages import PROTOCOL_VERSION, Hello, State
 from .runtime import Runtime
 from .settings import Address, MeshSettings, read_settings
@@ -74,11 +74,11 @@
     inbound: Inbound = attrs.field(init=False)
     members: Members = attrs.field(init=False)
     configuration: Configuration = attrs.field(init=False)
-    follower: Follower = attrs.field(init=False)
+    configuration_watcher: ConfigurationWatcher = attrs.field(init=False)
     discovery: Discovery = attrs.field(init=False)
     calls: CallContext = attrs.field(init=False)
     outbound: Outbound = attrs.field(init=False)
-    listener: PeerListener = attrs.field(init=False)
+    incoming_links: IncomingLinks = attrs.field(init=False)
     prober: Prober = attrs.field(init=False)
     callers: ServerState = attrs.field(init=False)
     shutdown: GracefulShutdown = attrs.field(init=False)
@@ -116,7 +116,7 @@
             self._take_configuration,
         )
         self.configuration = Configuration(self._on_version, random=runtime.random)
-        self.follower = Follower(
+        self.configuration_watcher = ConfigurationWatcher(
             runtime,
             self._client(),
             self.configuration,
@@ -133,16 +133,16 @@
             runtime, self.members, budget, settings.service, self.crashes
         )
         self.outbound = Outbound(self.calls, lambda: self.configuration.table)
-        self.listener = PeerListener(
+        self.incoming_links = IncomingLinks(
             runtime,
             self.inbound,
             self.hello,
             self.state,
-            lambda hello: self.members.learn(
+            lambda hello: self.members.add(
                 (hello.peer_address[0], hello.peer_address[1])
             ),
             lambda: (self.configuration.version, self.configuration.content),
-            lambda: self.configuration.version_read,
+            lambda: self.configuration.store_version,
             settings.data_centre,
         )
         self.prober = Prober(
@@ -153,7 +153,7 @@
             restarted=not settings.first_start,
         )
         self.callers = ServerState(
-            self.outbound.handle, runtime.fault_handler("caller"), answer_failed
+            self.outbound.handle, runtime.fault_handler("caller"), answer_bad_gateway
         )
         self.shutdown = GracefulShutdown(
             runtime,
@@ -161,7 +161,7 @@
             self.callers,
             self.outbound,
             self.inbound,
-            self.listener,
+            self.incoming_links,
             self._close_callers,
         )
 
@@ -180,7 +180,7 @@
                 endpoints.announcements(
                     self.backend,
                     self.runtime,
-                    self.configuration.names_service,
+                    self.configuration.allows_service,
                     self._announced,
                 ),
             ),
@@ -202,7 +202,7 @@
             service=settings.service,
             first_start=settings.first_start,
         )
-        self.runtime.spawn(self.follower.run())
+        self.runtime.spawn(self.configuration_watcher.run())
         self.runtime.spawn(self.discovery.run())
         gc.collect()
         gc.freeze()
@@ -218,7 +218,7 @@
         """Begin an orderly stop: finish what is under way, take nothing new."""
         if not self.shutdown.begin(self.settings.bounds.grace_ms):
             return
-        self.runtime.spawn(self.discovery.leave())
+        self.runtime.spawn(self.discovery.deregister())
         self.schedule_state_broadcast()
 
     def abort(self) -> None:
@@ -226,7 +226,7 @@
         for server in self._servers:
             server.close()
         self.members.close()
-        for peer in list(self.listener.servers):
+        for peer in list(self.incoming_links.links):
             peer.abort()
         for connection in list(self.callers.connections):
             connection.abort()
@@ -245,7 +245,7 @@
         self.settings = settings
         self.backend.drain_ms = settings.bounds.drain_ms
         self.calls.calling_service = settings.service
-        budget = self.calls.budget
+        budget = self.calls.retry_budget
         budget.ratio = settings.bounds.retry_ratio
         budget.extra = settings.bounds.retry_extra
         budget.window_ms = settings.bounds.retry_window_ms
@@ -287,7 +287,7 @@
             self.inbound.admission.in_flight,
             backend.cold_remaining_ms(self.runtime.now_ms()),
             self.configuration.version,
-            self.follower.store_reachable,
+            self.configuration_watcher.store_reachable,
             self.is_stopping,
             self.inbound.health.failure_ratio,
             self.inbound.caller_detector.callers(),
@@ -302,7 +302,7 @@
 
     def _broadcast(self) -> None:
         self._broadcast_due = False
-        self.listener.broadcast_state()
+        self.incoming_links.broadcast_state()
 
     def _report_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
         events.log(
@@ -312,7 +312,7 @@
             suspects=len(updates),
             refused=sum(1 for update in updates if update.refused_for_ms > 0),
         )
-        self.listener.tell_crashes(service, updates)
+        self.incoming_links.broadcast_crashes(service, updates)
 
     def _count_servers(self, service: str) -> int:
         return len(self.members.endpoints(service))
@@ -322,16 +322,16 @@
         self.prober.check()
 
     def _on_news(self) -> None:
-        self.follower.news()
+        self.configuration_watcher.wake()
 
     def _take_configuration(self, version: int, content: bytes) -> None:
-        self.configuration.offer(content, PEER)
+        self.configuration.apply_if_newer(content, SOURCE_PEER)
 
     def _on_version(self, table: RoutingTable) -> None:
         self.callers.limits = table.limits
         self.schedule_state_broadcast()
-        if self.configuration.version_read == table.version:
-            self.listener.push_configuration()
+        if self.configuration.store_version == table.version:
+            self.incoming_links.push_configuration()
         self.prober.check()
 
     def _client(self) -> StoreClient:
@@ -358,7 +358,7 @@
         return state
 
     async def _listen_peers(self, address: Address) -> None:
-        await self._bind(address, lambda: PeerServer(self.listener))
+        await self._bind(address, lambda: IncomingLink(self.incoming_links))
 
     async def _bind(self, address: Address, factory: ProtocolFactory) -> None:
         try:
@@ -380,14 +380,14 @@
         if pause_ms > OWN_PAUSE_MS:
             events.log(events.LOOP_STALLED, pause_ms=round(pause_ms))
         if pause_ms > EXCUSED_PAUSE_MS:
-            self.runtime.run_guarded("tick", self.members.excuse, pause_ms)
+            self.runtime.run_guarded("tick", self.members.discount_pause, pause_ms)
         run_guarded = partial(self.runtime.run_guarded, "tick")
         run_guarded(self.members.tick, now_ms)
         run_guarded(self.inbound.tick)
         run_guarded(self.prober.check)
         run_guarded(self.calls.refusals.tick)
         run_guarded(self._update_pressure)
-        run_guarded(self.follower.tick, now_ms)
+        run_guarded(self.configuration_watcher.tick, now_ms)
         self._ticks += 1
         if self._ticks % STATE_TICKS == 0:
             run_guarded(self.schedule_state_broadcast)
@@ -409,7 +409,7 @@
         self.outbound.load_shedder.update(self._reports())
 
     def _reports(self) -> list[PressureReport]:
-        states = [link.state for link in self.members.alive()]
+        states = [link.state for link in self.members.live_links()]
         states.append(self.state())
         return [
             PressureReport(state.service, state.callers, state.refusals)
@@ -432,7 +432,7 @@
         gauges["configuration_version"] = self.configuration.version
         gauges["backend_running"] = len(self.inbound.admission.running)
         gauges["backend_busy"] = self.inbound.admission.in_flight
-        gauges["store_reachable"] = float(self.follower.store_reachable)
+        gauges["store_reachable"] = float(self.configuration_watcher.store_reachable)
 
 
 def serve(path: pathlib.Path) -> None:
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -10,7 +10,7 @@
 from .backend.inbound import Inbound
 from .callers.outbound import Outbound
 from .decisions.stopping import ShutdownPlan
-from .links.server import PeerListener
+from .links.incoming import IncomingLinks
 from .runtime import Runtime
 
 
@@ -33,7 +33,7 @@
     callers: ServerState
     outbound: Outbound
     inbound: Inbound
-    listener: PeerListener
+    incoming_links: IncomingLinks
     close_callers: Callable[[], None]
     plan: ShutdownPlan | None = None
 
@@ -43,7 +43,7 @@
             return False
         self.plan = ShutdownPlan(self.runtime.now_ms(), grace_ms)
         self.callers.draining = True
-        self.outbound.context.end_by(self.plan.drain_deadline_ms)
+        self.outbound.context.limit_deadline(self.plan.drain_deadline_ms)
         self.inbound.stop(self.plan.drain_deadline_ms)
         self._log(events.STOPPING)
         return True
@@ -58,7 +58,11 @@
             self.close_callers()
             # What was accepted last is read, and refused, before the next look.
             return False
-        busy = self.callers.busy or self.inbound.busy or self.listener.busy
+        busy = (
+            self.callers.busy
+            or self.inbound.busy
+            or self.incoming_links.has_unsent_outcomes
+        )
         if busy and now_ms < plan.exit_deadline_ms:
             return False
         for connection in list(self.callers.connections):
@@ -69,8 +73,8 @@
 
     def finish(self) -> None:
         """Say what the node leaves as it ends."""
-        for call in list(self.outbound.context.under_way):
-            call.log_cut()
+        for call in list(self.outbound.context.calls_in_flight):
+            call.log_aborted()
         self._log(events.STOPPED)
 
     def _log(self, event: Event) -> None:
@@ -78,7 +82,7 @@
         events.log(
             event,
             node=self.instance,
-            calls=len(self.outbound.context.under_way),
+            calls=len(self.outbound.context.calls_in_flight),
             runs=len(admission.running),
             waiting=admission.in_flight - len(admission.running),
         )
--- a/tests/broken_node.py
+++ b/tests/broken_node.py
@@ -46,12 +46,12 @@
 
 def alter_answers() -> None:
     """Answer with another body than the backend server's."""
-    plain = AnswerWriter.whole
+    plain = AnswerWriter.write_whole
 
-    def whole(self: AnswerWriter, answer: Answer) -> None:
+    def write_whole(self: AnswerWriter, answer: Answer) -> None:
         plain(self, attrs.evolve(answer, body=b"other"))
 
-    AnswerWriter.whole = whole  # type: ignore[method-assign]
+    AnswerWriter.write_whole = write_whole  # type: ignore[method-assign]
 
 
 def ignore_leaving() -> None:
@@ -62,12 +62,14 @@
 
 def keep_first_version() -> None:
     """Put no version in force but the first."""
-    plain = configuration.Configuration.offer
+    plain = configuration.Configuration.apply_if_newer
 
-    def offer(self: configuration.Configuration, content: bytes, source: str) -> bool:
+    def apply_if_newer(
+        self: configuration.Configuration, content: bytes, source: str
+    ) -> bool:
         return not self.version and plain(self, content, source)
 
-    configuration.Configuration.offer = offer  # type: ignore[method-assign]
+    configuration.Configuration.apply_if_newer = apply_if_newer  # type: ignore[method-assign]
 
 
 def stop_at_once() -> None:
@@ -97,7 +99,7 @@
 def never_answer() -> None:
     """Leave each request unanswered."""
     call.Call._on_timeout = lambda self: None  # type: ignore[method-assign]
-    AnswerWriter.whole = lambda self, answer: None  # type: ignore[method-assign]
+    AnswerWriter.write_whole = lambda self, answer: None  # type: ignore[method-assign]
 
 
 BREAKAGES: dict[str, Callable[[], None]] = {
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -14,9 +14,9 @@
     ReportPacer,
     idle_probe_interval_ms,
 )
-from azurestep.mesh.knowledge.configuration import PEER, STORE
-from azurestep.mesh.links.link import DOUBT_MS
-from azurestep.mesh.links.server import PeerListener, PeerServer
+from azurestep.mesh.knowledge.configuration import SOURCE_PEER, SOURCE_STORE
+from azurestep.mesh.links.incoming import IncomingLink, IncomingLinks
+from azurestep.mesh.links.link import UNRESPONSIVE_AFTER_MS
 from azurestep.mesh.messages import Kind, compress, decompress
 
 from .fixtures_mesh import MeshFleet, document
@@ -68,7 +68,7 @@
     mesh: MeshFleet,
 ) -> None:
     leaving, other = mesh.instances[0], mesh.instances[1]
-    for server in (item.node.listener for item in mesh.instances):
+    for server in (item.node.incoming_links for item in mesh.instances):
         server.broadcast_state()
     await leaving.beat(mesh.session, "draining")
     async with asyncio.timeout(0.2):
@@ -80,25 +80,25 @@
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     reports: list[int] = []
-    plain = PeerListener._write
+    plain = IncomingLinks._write
 
-    def counting(self: PeerListener, servers: set[PeerServer], data: bytes) -> None:
+    def counting(self: IncomingLinks, servers: set[IncomingLink], data: bytes) -> None:
         reports.append(len(servers) if data[1] == Kind.STATE else 0)
         plain(self, servers, data)
 
-    monkeypatch.setattr(PeerListener, "_write", counting)
-    listener = mesh.instances[0].node.listener
+    monkeypatch.setattr(IncomingLinks, "_write", counting)
+    incoming_links = mesh.instances[0].node.incoming_links
     configuration = mesh.instances[0].node.configuration
-    far = {one for one in listener.servers if not listener._is_near(one)}
-    listener.broadcast_state()
+    far = {one for one in incoming_links.links if not incoming_links._is_near(one)}
+    incoming_links.broadcast_state()
     reports.clear()
-    configuration.offer(document(40), PEER)
-    listener.broadcast_state()
+    configuration.apply_if_newer(document(40), SOURCE_PEER)
+    incoming_links.broadcast_state()
     assert max(reports, default=0) <= len(far)
-    configuration.offer(document(41), STORE)
+    configuration.apply_if_newer(document(41), SOURCE_STORE)
     reports.clear()
-    listener.broadcast_state()
-    assert reports == [len(listener.servers)]
+    incoming_links.broadcast_state()
+    assert reports == [len(incoming_links.links)]
     await asyncio.sleep(0)
 
 
@@ -108,7 +108,7 @@
     for link in links:
         assert link.connection is not None
         link.connection.ping()
-    time.sleep(DOUBT_MS / 1000 + 0.05)
+    time.sleep(UNRESPONSIVE_AFTER_MS / 1000 + 0.05)
     node._tick([])
     assert not any(link.endpoint.unresponsive for link in links)
 
@@ -116,14 +116,14 @@
 async def test_a_version_is_pushed_by_the_node_that_read_it_only(
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    pushed: list[PeerListener] = []
+    pushed: list[IncomingLinks] = []
 
-    def note(self: PeerListener) -> None:
+    def note(self: IncomingLinks) -> None:
         pushed.append(self)
 
-    monkeypatch.setattr(PeerListener, "push_configuration", note)
+    monkeypatch.setattr(IncomingLinks, "push_configuration", note)
     node = mesh.instances[0].node
-    node.configuration.offer(document(50), PEER)
+    node.configuration.apply_if_newer(document(50), SOURCE_PEER)
     assert pushed == []
-    node.configuration.offer(document(51), STORE)
-    assert pushed == [node.listener]
+    node.configuration.apply_if_newer(document(51), SOURCE_STORE)
+    assert pushed == [node.incoming_links]
--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -11,7 +11,7 @@
 from azurestep.mesh.backend.inbound import Inbound
 from azurestep.mesh.backend.run import Run
 from azurestep.mesh.callers.call import Call
-from azurestep.mesh.links.remote_receiver import RemoteReceiver
+from azurestep.mesh.links.outcome_forwarder import OutcomeForwarder
 
 from .fixtures_mesh import PEER_PORT, MeshFleet, MeshInstance, MeshLines
 from .test_mesh_faults import eventually, pay
@@ -132,7 +132,7 @@
     breaks(monkeypatch, Call, "on_failure", of_call)
     paying = asyncio.create_task(pay_beside_a_faulty_one(mesh, caller))
     await eventually(lambda: remote.server.running == 4)
-    for server in list(remote.node.listener.servers):
+    for server in list(remote.node.incoming_links.links):
         server.abort()
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -167,7 +167,7 @@
 WHERE_ANSWERS_ARE_TAKEN = [
     (Run, "_judge", of_run),
     (Run, "_finish_run", of_run),
-    (RemoteReceiver, "on_answer", of_stream),
+    (OutcomeForwarder, "on_answer", of_stream),
 ]
 
 
--- a/tests/test_mesh_containment_callers.py
+++ b/tests/test_mesh_containment_callers.py
@@ -19,7 +19,7 @@
 from azurestep.mesh.callers.context import CallContext
 from azurestep.mesh.decisions.pressure import RefusalMeter
 from azurestep.mesh.decisions.returning import ReturningCallers
-from azurestep.mesh.knowledge.following import Follower
+from azurestep.mesh.knowledge.configuration_watcher import ConfigurationWatcher
 from azurestep.mesh.links.link import PeerLink
 from azurestep.mesh.links.members import Members
 from azurestep.mesh.messages import Answer
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize(
     ("method", "owner"),
-    [("attempt", (CallContext, of_attempt)), ("on_end", (Call, of_call))],
+    [("identify_attempt", (CallContext, of_attempt)), ("on_end", (Call, of_call))],
 )
 async def test_the_other_requests_of_a_connection_are_answered_in_order(
     mesh: MeshFleet,
@@ -195,7 +195,7 @@
         (Inbound, "tick"),
         (Prober, "check"),
         (RefusalMeter, "tick"),
-        (Follower, "tick"),
+        (ConfigurationWatcher, "tick"),
         (Node, "schedule_state_broadcast"),
         (Node, "_check_settings"),
         (Node, "_reports"),
@@ -262,14 +262,14 @@
 async def test_an_answer_that_can_not_be_written_keeps_its_place(
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sound = AnswerWriter.whole
+    sound = AnswerWriter.write_whole
 
-    def whole(self: AnswerWriter, answer: Answer) -> None:
+    def write_whole(self: AnswerWriter, answer: Answer) -> None:
         if (b"Attempt-Id", FAULTY) in self._exchange.headers:
             answer = attrs.evolve(answer, headers=[(b"X", None)])
         sound(self, answer)
 
-    monkeypatch.setattr(AnswerWriter, "whole", whole)
+    monkeypatch.setattr(AnswerWriter, "write_whole", write_whole)
     names = ["a", FAULTY.decode(), "b"]
     data = b"".join(message(name) for name in names)
     assert await ask(mesh.instances[0], data, 3) == [200, 502, 200]
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -14,8 +14,8 @@
 from azurestep.mesh.links.connection import HANDLERS as OF_CONNECTION
 from azurestep.mesh.links.connection import PeerConnection, RemoteStream
 from azurestep.mesh.links.decoding import OF_CALLED_NODES, OF_CALLING_NODES, Decoder
-from azurestep.mesh.links.server import HANDLERS as OF_SERVER
-from azurestep.mesh.links.server import PeerServer
+from azurestep.mesh.links.incoming import HANDLERS as OF_SERVER
+from azurestep.mesh.links.incoming import IncomingLink
 from azurestep.mesh.messages import (
     PROTOCOL_VERSION,
     Answer,
@@ -113,7 +113,7 @@
         wire = Wire()
         end: Any
         if self.called:
-            end = PeerServer(self)  # type: ignore[arg-type]
+            end = IncomingLink(self)  # type: ignore[arg-type]
         else:
             end = PeerConnection(self)  # type: ignore[arg-type]
             stream = RemoteStream(end, STREAM, self, True, True)  # type: ignore[arg-type]
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -23,7 +23,7 @@
 
 def speak_again(instance: MeshInstance) -> None:
     """Let a silenced node's answers through again."""
-    for server in list(instance.node.listener.servers):
+    for server in list(instance.node.incoming_links.links):
         vars(server).pop("write", None)
 
 
@@ -147,7 +147,7 @@
     asking.server.instance_id += "b"
     await asking.beat(mesh.session)
     await eventually(lambda: asking.node.inbound.open, 0.3)
-    for server in list(serving.node.listener.servers):
+    for server in list(serving.node.incoming_links.links):
         server.abort()
     assert await task == 200
     assert other.server.runs["m1"] == 0
--- a/tests/test_mesh_downloads.py
+++ b/tests/test_mesh_downloads.py
@@ -125,7 +125,7 @@
     silent = next(one for one in servers if one.server.runs["m1"])
     silence(silent)
     await asyncio.sleep(0.35)
-    for server in list(silent.node.listener.servers):
+    for server in list(silent.node.incoming_links.links):
         del server.write
     assert (await task)[0] == 200
     return sum(one.server.runs["m1"] for one in servers)
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -183,7 +183,7 @@
 
 def silence(instance: MeshInstance) -> None:
     """Let a node's answers to other nodes get lost; it still receives."""
-    for server in list(instance.node.listener.servers):
+    for server in list(instance.node.incoming_links.links):
         server.write = lambda data: None  # type: ignore[method-assign]
 
 
--- a/tests/test_mesh_refusals.py
+++ b/tests/test_mesh_refusals.py
@@ -91,7 +91,7 @@
     await eventually(lambda: serving.server.runs["g1"] == 1)
     silence(serving)
     await asyncio.sleep(0.85)
-    for server in list(serving.node.listener.servers):
+    for server in list(serving.node.incoming_links.links):
         vars(server).pop("write", None)
     assert await task == 200
     assert serving.server.runs["g1"] == 1
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -155,13 +155,13 @@
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     asked: list[Attempt] = []
-    plain = CallContext.attempt
+    plain = CallContext.identify_attempt
 
     def noting(self, exchange, caller) -> Attempt:  # type: ignore[no-untyped-def]
         asked.append(plain(self, exchange, caller))
         return asked[-1]
 
-    monkeypatch.setattr(CallContext, "attempt", noting)
+    monkeypatch.setattr(CallContext, "identify_attempt", noting)
     await mesh.get(mesh.instances[0], "/read/8", "n1", 900)
     for instance in mesh.instances:
         await instance.beat(mesh.session, "draining")
--- a/tests/test_mesh_routes.py
+++ b/tests/test_mesh_routes.py
@@ -57,7 +57,7 @@
     for index in range(nodes):
         configuration = Configuration(lambda table: None, random=Random(seed + index))
         for version in range(1, requests + 1):
-            configuration.offer(with_split(version, a, b), "test")
+            configuration.apply_if_newer(with_split(version, a, b), "test")
             table = configuration.table
             assert table is not None
             route = table.match(b"shop.example", b"/split/1")
@@ -168,10 +168,10 @@
     content: bytes,
 ) -> None:
     configuration = Configuration(lambda table: None)
-    configuration.offer(document(3), "test")
+    configuration.apply_if_newer(document(3), "test")
     with pytest.raises(ConfigurationError):
         read_document(content)
-    assert not configuration.offer(content, "test")
+    assert not configuration.apply_if_newer(content, "test")
     assert configuration.version == 3
 
 
@@ -179,5 +179,5 @@
     seen: list[int] = []
     configuration = Configuration(lambda table: seen.append(table.version))
     for version in (3, 7, 5, 7, 9):
-        configuration.offer(document(version), "test")
+        configuration.apply_if_newer(document(version), "test")
     assert seen == [3, 7, 9]
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -19,7 +19,7 @@
 
 from azurestep.mesh import events
 from azurestep.mesh.incarnation import Incarnation
-from azurestep.mesh.links.remote_receiver import RemoteReceiver
+from azurestep.mesh.links.outcome_forwarder import OutcomeForwarder
 from azurestep.mesh.messages import Reason, Refusal, Request
 from azurestep.platform.topics import CONFIGURATION_KEY, OPERATOR_TOPIC
 from standins.signing_server import signed
@@ -275,7 +275,7 @@
     with slow_caller() as caller:
         await loop.sock_connect(caller, (stopping.host, CALLER_PORT))
         await loop.sock_sendall(caller, get_bytes("d1"))
-        await eventually(lambda: bool(stopping.node.calls.under_way))
+        await eventually(lambda: bool(stopping.node.calls.calls_in_flight))
         await stop(stopping)
     lines = mesh_lines.of(events.STOPPED.number, events.CALL_FAILED.number)
     cut = [line for line in lines if line["event"] == events.CALL_FAILED.number]
@@ -309,7 +309,7 @@
     for instance in mesh.instances:
         instance.server.work_s = 0.2
     held = asyncio.create_task(mesh.get(stopping, "/read/1", "held-1"))
-    await eventually(lambda: bool(stopping.node.calls.under_way))
+    await eventually(lambda: bool(stopping.node.calls.calls_in_flight))
     stopping.node.stop()
     plan = stopping.node.shutdown.plan
     assert plan is not None
@@ -328,13 +328,13 @@
 async def test_a_stopping_node_does_not_wait_until_its_news_have_left(
     mesh: MeshFleet,
 ) -> None:
-    listener = mesh.instances[0].node.listener
-    server = next(iter(listener.servers))
+    incoming_links = mesh.instances[0].node.incoming_links
+    server = next(iter(incoming_links.links))
     server._transport = FullTransport()  # type: ignore[assignment]
-    listener.broadcast_state()
-    assert not listener.busy
-    RemoteReceiver(server, 1).on_refusal(Refusal(Reason.STOPPING, 0, 0.0))
-    assert listener.busy
+    incoming_links.broadcast_state()
+    assert not incoming_links.has_unsent_outcomes
+    OutcomeForwarder(server, 1).on_refusal(Refusal(Reason.STOPPING, 0, 0.0))
+    assert incoming_links.has_unsent_outcomes
 
 
 class BusyUntilClosed:
--- a/tests/test_mesh_stopping_uploads.py
+++ b/tests/test_mesh_stopping_uploads.py
@@ -67,7 +67,7 @@
         for name, status in zip(NAMES, statuses, strict=True):
             runs = sum(item.server.runs[name] for item in self.mesh.instances)
             assert runs <= (0 if status == NOT_RUN else 1)
-        assert not self.asked.node.calls.under_way
+        assert not self.asked.node.calls.calls_in_flight
 
 
 @pytest_asyncio.fixture
@@ -100,7 +100,7 @@
 
 async def link_reset(stage: Stage) -> None:
     await asyncio.sleep(0.9)
-    for server in list(stage.serving.node.listener.servers):
+    for server in list(stage.serving.node.incoming_links.links):
         server.abort()
 
 
--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -126,7 +126,7 @@
 ) -> None:
     instance = mesh.instances[0]
     mesh.store.trouble, mesh.store.late_s = Trouble.LATE, 0.6
-    await instance.node.discovery.leave()
+    await instance.node.discovery.deregister()
     mesh.store.trouble = Trouble.NONE
     assert instance.task is not None
     instance.task.cancel()
--- a/tests/test_mesh_uploads.py
+++ b/tests/test_mesh_uploads.py
@@ -6,13 +6,13 @@
 import pytest
 
 from azurestep.mesh.backend.transfers import MAX_CONCURRENT_TRANSFERS, BodyTransfers
-from azurestep.mesh.callers.body import BULK_BYTES
+from azurestep.mesh.callers.body import LARGE_BODY_BYTES
 from azurestep.mesh.links.connection import PeerConnection
 from azurestep.mesh.messages import Kind
 
 from .fixtures_mesh import MeshFleet, MeshInstance, caller_headers
 
-BODY = b"u" * (BULK_BYTES * 4)
+BODY = b"u" * (LARGE_BODY_BYTES * 4)
 
 
 class Fetch:
@@ -99,7 +99,7 @@
         instance.node.inbound.unreachable = True
         instance.node.inbound._next_try_ms = math.inf
     assert await upload(mesh, asked, "refused") == 503
-    assert sum(sent) < BULK_BYTES
+    assert sum(sent) < LARGE_BODY_BYTES
     for instance in mesh.instances[1:]:
         instance.node.inbound.unreachable = False
     assert await upload(mesh, asked, "taken") == 200
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -1028,7 +1028,10 @@
             ],
             "scope of keys": KEY_SCOPE,
             "announce": ANNOUNCE_PATH,
-            "sources of a configuration": [knowledge.STORE, knowledge.PEER],
+            "sources of a configuration": [
+                knowledge.SOURCE_STORE,
+                knowledge.SOURCE_PEER,
+            ],
         },
     )
 
