--- a/azurestep/mesh/callers/answer_writer.py
+++ b/azurestep/mesh/callers/answer_writer.py
@@ -19,27 +19,27 @@
         self.started = False
         self._exchange = exchange
         self._chunked = False
-        self._untaken = 0
+        self._pending_credit = 0
 
     def write_whole(self, answer: Answer) -> None:
         """Write an answer that came whole."""
         self._exchange.answer(answer.status, answer.headers, answer.body)
 
-    def begin(self, answer: Answer) -> None:
+    def start(self, answer: Answer) -> None:
         """Write the head and the first bytes of a long answer."""
         self.started = True
         self._chunked = answer.length < 0
         length = None if self._chunked else answer.length
         self._exchange.begin(answer.status, answer.headers, length)
-        self.more(answer.body)
+        self.write_data(answer.body)
 
-    def more(self, data: bytes) -> None:
+    def write_data(self, data: bytes) -> None:
         """Write more of a long answer."""
         if data:
-            self._untaken += len(data)
-            self._exchange.write(self._framed(data))
+            self._pending_credit += len(data)
+            self._exchange.write(self._encode_chunk(data))
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """End a long answer."""
         if self._chunked:
             self._exchange.write(LAST_CHUNK)
@@ -53,8 +53,8 @@
         """Return how many more bytes the sender may send, once for each of them."""
         if not self._exchange.writable:
             return 0
-        credit, self._untaken = self._untaken, 0
+        credit, self._pending_credit = self._pending_credit, 0
         return credit
 
-    def _framed(self, data: bytes) -> bytes:
+    def _encode_chunk(self, data: bytes) -> bytes:
         return b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data
--- a/azurestep/mesh/callers/body.py
+++ b/azurestep/mesh/callers/body.py
@@ -4,7 +4,7 @@
 
 from ..backend.run import FLOW_WINDOW_BYTES
 
-BUFFER_BYTES = 524_288
+MAX_BUFFERED_BODY_BYTES = 524_288
 """Bodies up to this size are read whole before they are sent, so that a request
 that was refused can be sent to another backend server; longer ones are streamed."""
 LARGE_BODY_BYTES = 16_384
@@ -34,7 +34,7 @@
     _parts: list[bytes] = attrs.field(factory=list)
     _unacknowledged_bytes: int = 0
 
-    def keep(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         """Keep a piece."""
         self._parts.append(data)
         self.size_bytes += len(data)
@@ -43,21 +43,21 @@
         """Return what was kept."""
         return b"".join(self._parts)
 
-    def drop(self) -> None:
+    def clear(self) -> None:
         """Free what was kept."""
         self._parts = []
 
     @property
-    def is_bulk(self) -> bool:
+    def is_deferred(self) -> bool:
         """Whether it is sent only once there is a slot for the request."""
         return self.size_bytes > LARGE_BODY_BYTES and not self.streamed
 
-    def sent(self, data: bytes) -> bool:
+    def record_sent(self, data: bytes) -> bool:
         """Count a piece that was passed on; return whether the window is full."""
         self._unacknowledged_bytes += len(data)
         return self._unacknowledged_bytes > FLOW_WINDOW_BYTES
 
-    def acknowledged(self, size_bytes: int) -> bool:
+    def record_acknowledged(self, size_bytes: int) -> bool:
         """Take in that bytes arrived; return whether the window has room again."""
         self._unacknowledged_bytes -= size_bytes
         return self._unacknowledged_bytes <= FLOW_WINDOW_BYTES
--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -9,19 +9,19 @@
 from ..links.interfaces import Stream
 from ..messages import Answer, Failure, Reason, Refusal
 from .answer_writer import AnswerWriter
-from .body import BUFFER_BYTES, RequestBody
+from .body import MAX_BUFFERED_BODY_BYTES, RequestBody
 from .context import CallContext, Target
 from .deadline import Deadline
-from .ending import GATEWAY_TIMEOUT, Ending
-from .former_run import FormerRun
-from .outgoing import Outgoing
-from .own_answers import RETRY_WITHOUT_BACKEND_MS
-from .placement import Placement
-from .record import GOOD_BELOW, CallRecord
-
-ASKED_MOST = 4
+from .ending import GATEWAY_TIMEOUT, OutcomeReporter
+from .former_run import EarlierRun
+from .outgoing import RequestBuilder
+from .own_answers import NO_BACKEND_RETRY_AFTER_MS
+from .placement import EndpointSelector
+from .record import FIRST_FAILURE_STATUS, CallRecord
+
+MAX_NODES_ASKED = 4
 """Most nodes that are asked for one request before its caller is refused."""
-WITHDRAWAL_MS = 50.0
+WITHDRAWAL_TIMEOUT_MS = 50.0
 """Longest wait at the deadline for the word whether a request ran: ten times the round
 trip between data centres that was measured (3 ms), and a fifth of the time by which an
 answer past its timeout counts as held."""
@@ -51,16 +51,18 @@
         remaining_ms = min(caller.remaining_ms or route.timeout_ms, route.timeout_ms)
         self.done = False
         self._body = RequestBody()
-        self._outgoing = Outgoing(context, exchange, caller, self.record, self._body)
-        self._placement = Placement(context, target.service)
+        self._request_builder = RequestBuilder(
+            context, exchange, caller, self.record, self._body
+        )
+        self._selector = EndpointSelector(context, target.service)
         self._stream: Stream | None = None
-        self._former: FormerRun | None = None
-        self._fallback: Answer | None = None
-        self._unsure_runs = 0
+        self._earlier_run: EarlierRun | None = None
+        self._fallback_answer: Answer | None = None
+        self._unconfirmed_runs = 0
         self._withdrawn = False
         self._refusal: Refusal | None = None
         self._writer = AnswerWriter(exchange)
-        self._ending = Ending(context, exchange, self.record, self._writer)
+        self._outcome = OutcomeReporter(context, exchange, self.record, self._writer)
         self._deadline = Deadline(
             context.runtime,
             now_ms + remaining_ms,
@@ -78,8 +80,11 @@
         if self._body.streamed:
             self._send_body(data, False)
             return
-        self._body.keep(data)
-        if self._body.size_bytes > BUFFER_BYTES and not self.exchange.started:
+        self._body.append(data)
+        if (
+            self._body.size_bytes > MAX_BUFFERED_BODY_BYTES
+            and not self.exchange.started
+        ):
             self._body.streamed = True
             self._dispatch()
 
@@ -98,42 +103,44 @@
         if self.done:
             return
         self._close(cancel=True)
-        self._ending.gone()
+        self._outcome.report_disconnect()
 
     def on_writable(self) -> None:
         """Grant the other end more bytes of the answer."""
-        self._grant()
+        self._grant_credit()
 
     # To a backend server.
 
     def _dispatch(self) -> None:
         context = self.context
         now_ms = context.runtime.now_ms()
-        endpoint = self._placement.choose(
-            self._outgoing.selection_criteria(now_ms), now_ms
+        endpoint = self._selector.choose(
+            self._request_builder.selection_criteria(now_ms), now_ms
         )
         if endpoint is None:
-            self._give_up()
+            self._refuse_without_endpoint()
             return
-        request = self._outgoing.request(now_ms, self._deadline.deadline_ms, endpoint)
+        request = self._request_builder.build_request(
+            now_ms, self._deadline.deadline_ms, endpoint
+        )
         if context.crashes.is_quarantined(request, now_ms):
             self._refuse(Reason.QUARANTINED, QUARANTINE_RETRY_AFTER_MS)
             return
         self.record.instance = endpoint.incarnation.instance_id
-        self.record.asked += 1
-        self._placement.take(endpoint)
+        self.record.nodes_asked += 1
+        self._selector.assign(endpoint)
         stream = context.members.send(endpoint, request, self)
         if stream is None:
-            self._placement.leave()
-            self._placement.exclude(endpoint)
+            self._selector.release()
+            self._selector.exclude(endpoint)
             self._dispatch()
-        elif not self.done and self._placement.endpoint is endpoint:
+        elif not self.done and self._selector.endpoint is endpoint:
             self._stream = stream
 
     def _send_body(self, data: bytes, whole: bool) -> None:
         if self._stream is None:
             return
-        if self._body.sent(data):
+        if self._body.record_sent(data):
             self.exchange.connection.pause_reading()
         self._stream.body(data, whole)
 
@@ -141,112 +148,114 @@
 
     def on_credit(self, size: int) -> None:
         """Take more of the caller's body."""
-        if self._body.acknowledged(size):
+        if self._body.record_acknowledged(size):
             self.exchange.connection.resume_reading()
 
     def on_slot_ready(self) -> None:
         """Send a long body, which was kept until there was a slot for it."""
-        endpoint = self._placement.endpoint
+        endpoint = self._selector.endpoint
         if self._stream is None or endpoint is None:
             return
-        if self._outgoing.sends_later(endpoint):
+        if self._request_builder.defers_body(endpoint):
             self._stream.body(self._body.content(), True)
 
     def on_unresponsive(self, confirmed: bool) -> None:
         """Go elsewhere, if that is safe and there is another way."""
-        endpoint = self._placement.endpoint
+        endpoint = self._selector.endpoint
         if self.done or self._writer.started or self._body.streamed or endpoint is None:
             return
-        if self._withdrawn or not self._placement.has_other():
+        if self._withdrawn or not self._selector.has_alternative():
             return
-        if confirmed and not self._doubt_allows_run():
+        if confirmed and not self._may_run_in_parallel():
             return
         stream, self._stream = self._stream, None
-        self._placement.leave()
-        self._placement.exclude(endpoint)
+        self._selector.release()
+        self._selector.exclude(endpoint)
         if stream is not None and confirmed:
-            self._former = FormerRun(self, stream, endpoint)
-            stream.replace_receiver(self._former)
+            self._earlier_run = EarlierRun(self, stream, endpoint)
+            stream.replace_receiver(self._earlier_run)
         elif stream is not None:
             stream.cancel()
         self._log_retry(Reason.LINK_LOST)
         self._dispatch()
 
-    def _doubt_allows_run(self) -> bool:
-        if self._former is not None or not self._outgoing.is_movable():
+    def _may_run_in_parallel(self) -> bool:
+        if self._earlier_run is not None or not self._request_builder.is_reroutable():
             return False
         self.record.runs += 1
         if self._may_run_again():
-            self._unsure_runs += 1
+            self._unconfirmed_runs += 1
             return True
         self.record.runs -= 1
         return False
 
-    def on_former_answer(self, former: FormerRun, answer: Answer) -> None:
+    def on_earlier_answer(self, earlier: EarlierRun, answer: Answer) -> None:
         """Take the answer of the first run, unless another one is on its way out."""
-        if self.done or former is not self._former:
-            former.cancel()
+        if self.done or earlier is not self._earlier_run:
+            earlier.cancel()
             return
-        if self._is_error(answer):
-            self._drop_former()
+        if self._is_retriable_error(answer):
+            self._cancel_earlier_run()
             if answer.whole:
-                self._fallback = self._fallback or answer
+                self._fallback_answer = self._fallback_answer or answer
             return
         if self._stream is not None:
             self._stream.cancel()
-        self._placement.leave()
-        self._return_to_former()
+        self._selector.release()
+        self._resume_earlier_run()
         self.on_answer(answer)
 
-    def on_former_lost(self, former: FormerRun, may_have_run: bool) -> None:
+    def on_earlier_lost(self, earlier: EarlierRun, may_have_run: bool) -> None:
         """Wait for the second run alone."""
-        if former is not self._former:
+        if earlier is not self._earlier_run:
             return
-        self._former = None
+        self._earlier_run = None
         if not may_have_run:
-            self._forget_unsure_run()
+            self._uncount_unconfirmed_run()
 
-    def _forget_unsure_run(self) -> None:
+    def _uncount_unconfirmed_run(self) -> None:
         """Count a run no longer that was counted on a doubt: it is known, or waited."""
         self.record.runs -= 1
-        self._unsure_runs -= 1
+        self._unconfirmed_runs -= 1
 
-    def _return_to_former(self) -> bool:
+    def _resume_earlier_run(self) -> bool:
         """Wait for the first run alone, if it goes on behind its link."""
-        former, self._former = self._former, None
-        if former is None:
+        earlier, self._earlier_run = self._earlier_run, None
+        if earlier is None:
             return False
-        self._forget_unsure_run()
-        self._stream = former.stream
-        former.stream.replace_receiver(self)
-        self._placement.take(former.endpoint)
-        self.record.instance = former.endpoint.incarnation.instance_id
+        self._uncount_unconfirmed_run()
+        self._stream = earlier.stream
+        earlier.stream.replace_receiver(self)
+        self._selector.assign(earlier.endpoint)
+        self.record.instance = earlier.endpoint.incarnation.instance_id
         return True
 
-    def _drop_former(self) -> None:
-        former, self._former = self._former, None
-        if former is not None:
-            former.cancel()
+    def _cancel_earlier_run(self) -> None:
+        earlier, self._earlier_run = self._earlier_run, None
+        if earlier is not None:
+            earlier.cancel()
 
     def on_refusal(self, refusal: Refusal) -> None:
         """Ask another node: the request has not run."""
         if self.done:
             return
         if self._withdrawn:
-            self._refuse_late()
+            self._refuse_at_deadline()
             return
-        endpoint = self._placement.leave()
+        endpoint = self._selector.release()
         reason = Reason(refusal.reason)
         self._refusal = refusal
         if endpoint is not None:
             endpoint.update_load(refusal.in_flight)
             if reason is Reason.OVERLOADED:
-                self._placement.exclude(endpoint)
+                self._selector.exclude(endpoint)
             else:
-                self._placement.avoid(endpoint)
+                self._selector.avoid(endpoint)
         if refusal.reached_backend:
             self.record.runs += 1
-        may_repeat = not self._body.streamed and self.record.asked < ASKED_MOST
+        may_repeat = (
+            not self._body.streamed and self.record.nodes_asked < MAX_NODES_ASKED
+        )
         if refusal.reached_backend and may_repeat:
             may_repeat = self._may_run_again()
         if may_repeat:
@@ -262,15 +271,15 @@
         if self._withdrawn:
             self._time_out()
             return
-        endpoint = self._placement.leave()
+        endpoint = self._selector.release()
         reason = Reason(failure.reason)
         self.record.runs += 1
-        self._unsure_runs += 1
+        self._unconfirmed_runs += 1
         if endpoint is not None:
-            self._placement.avoid(endpoint)
+            self._selector.avoid(endpoint)
         if self._writer.started:
             self._close(cancel=False)
-            self._ending.failed(reason)
+            self._outcome.report_failed(reason)
         elif (
             self.route.idempotent and not self._body.streamed and self._may_run_again()
         ):
@@ -283,49 +292,49 @@
         """Answer the caller, or run an idempotent request elsewhere."""
         if self.done:
             return
-        endpoint = self._placement.endpoint
-        self.record.answered(answer)
+        endpoint = self._selector.endpoint
+        self.record.record_times(answer)
         if endpoint is not None:
             endpoint.mean_run_ms[self.route.name] = answer.mean_run_ms
             self.context.mean_run_times.learn(self.route.name, answer.mean_run_ms)
-        if self._is_error(answer) and not self._body.streamed:
+        if self._is_retriable_error(answer) and not self._body.streamed:
             self.record.runs += 1
-            self._unsure_runs += 1
-            if self._is_bettered(answer, endpoint):
+            self._unconfirmed_runs += 1
+            if self._replace_error(answer, endpoint):
                 return
-        self._placement.leave()
+        self._selector.release()
         if endpoint is not None:
             endpoint.update_load(answer.in_flight)
-        self._pass_on(answer)
+        self._send_answer(answer)
 
-    def _is_bettered(self, answer: Answer, endpoint: Endpoint | None) -> bool:
+    def _replace_error(self, answer: Answer, endpoint: Endpoint | None) -> bool:
         """Whether another run may answer in place of an error, and is waited for."""
         runs_again = self._may_run_again()
-        if not runs_again and self._former is None:
+        if not runs_again and self._earlier_run is None:
             return False
-        self._keep_fallback(answer)
-        self._placement.leave()
+        self._keep_fallback_answer(answer)
+        self._selector.release()
         if endpoint is not None:
-            self._placement.avoid(endpoint)
+            self._selector.avoid(endpoint)
         if not runs_again:
-            return self._return_to_former()
+            return self._resume_earlier_run()
         self._log_retry(Reason.MALFORMED, answer.status)
         self._dispatch()
         return True
 
-    def _keep_fallback(self, answer: Answer) -> None:
+    def _keep_fallback_answer(self, answer: Answer) -> None:
         """Keep an error for the case that nothing better comes, if it is short.
 
         The rest of a long one is not wanted. It was passed on where the head of the
         next server's answer was due.
         """
         if answer.whole:
-            self._fallback = self._fallback or answer
+            self._fallback_answer = self._fallback_answer or answer
         elif self._stream is not None:
             stream, self._stream = self._stream, None
             stream.cancel()
 
-    def _is_error(self, answer: Answer) -> bool:
+    def _is_retriable_error(self, answer: Answer) -> bool:
         """Whether an answer is one that another backend server may better."""
         failed = answer.status >= SERVER_ERROR and answer.status != GATEWAY_TIMEOUT
         return failed and self.route.idempotent
@@ -334,27 +343,27 @@
         """Pass on more of a long answer."""
         if self.done:
             return
-        self._writer.more(data)
-        self._grant()
+        self._writer.write_data(data)
+        self._grant_credit()
         if whole:
             self._close(cancel=False)
-            self._writer.end()
+            self._writer.finish()
 
-    def _pass_on(self, answer: Answer) -> None:
-        self._drop_former()
-        if answer.status < GOOD_BELOW:
+    def _send_answer(self, answer: Answer) -> None:
+        self._cancel_earlier_run()
+        if answer.status < FIRST_FAILURE_STATUS:
             size_bytes = max(answer.length, len(answer.body))
             self.context.answer_sizes.learn(self.route.name, size_bytes)
         if answer.whole:
             self._close(cancel=False)
-            self._ending.answered(answer.status)
+            self._outcome.report_answered(answer.status)
             self._writer.write_whole(answer)
             return
-        self.record.log_end(answer.status, self._now_ms())
-        self._writer.begin(answer)
-        self._grant()
+        self.record.log_answered(answer.status, self._now_ms())
+        self._writer.start(answer)
+        self._grant_credit()
 
-    def _grant(self) -> None:
+    def _grant_credit(self) -> None:
         if self._stream is None:
             return
         credit = self._writer.take_credit()
@@ -370,33 +379,33 @@
             or now_ms >= self._deadline.deadline_ms
         ):
             return False
-        if self.record.asked >= ASKED_MOST:
+        if self.record.nodes_asked >= MAX_NODES_ASKED:
             return False
         return self.context.retry_budget.spend(self.service, now_ms)
 
-    def _give_up(self) -> None:
+    def _refuse_without_endpoint(self) -> None:
         refusal = self._refusal
         if refusal is None:
-            self._refuse(Reason.NO_BACKEND, RETRY_WITHOUT_BACKEND_MS)
+            self._refuse(Reason.NO_BACKEND, NO_BACKEND_RETRY_AFTER_MS)
         else:
             self._refuse(Reason(refusal.reason), refusal.retry_after_ms)
 
     def _refuse(self, reason: Reason, retry_after_ms: float) -> None:
-        if self._unsure_runs:
+        if self._unconfirmed_runs:
             self._fail(reason)
             return
         self._close(cancel=True)
-        self._ending.refused(reason, retry_after_ms)
+        self._outcome.report_refused(reason, retry_after_ms)
 
     def _fail(self, reason: Reason) -> None:
-        if self._return_to_former():
+        if self._resume_earlier_run():
             return
-        if self._fallback is not None:
-            answer, self._fallback = self._fallback, None
-            self._pass_on(answer)
+        if self._fallback_answer is not None:
+            answer, self._fallback_answer = self._fallback_answer, None
+            self._send_answer(answer)
             return
         self._close(cancel=True)
-        self._ending.failed(reason)
+        self._outcome.report_failed(reason)
 
     def limit_deadline(self, drain_deadline_ms: float) -> None:
         """Answer by then: this node is stopping."""
@@ -419,43 +428,41 @@
         """
         if self.done:
             return
-        if self._writer.started and self._deadline.wait_for_caller():
+        if self._writer.started and self._deadline.extend_to_caller_deadline():
             return
         stream = self._stream
-        if (
-            stream is not None
-            and stream.may_have_run
-            and not self._asks_whether_it_ran()
-        ):
+        if stream is not None and stream.may_have_run and not self._skips_withdrawal():
             self._withdrawn = True
-            self._deadline.extend(WITHDRAWAL_MS)
+            self._deadline.extend(WITHDRAWAL_TIMEOUT_MS)
             stream.withdraw()
         elif self._writer.started or (stream is not None and stream.may_have_run):
             self._time_out()
         else:
-            self._refuse_late()
+            self._refuse_at_deadline()
 
-    def _asks_whether_it_ran(self) -> bool:
+    def _skips_withdrawal(self) -> bool:
         return self._withdrawn or self._writer.started
 
-    def _refuse_late(self) -> None:
+    def _refuse_at_deadline(self) -> None:
         """Answer at the deadline that the request has not run, if it has not."""
-        if self._unsure_runs:
+        if self._unconfirmed_runs:
             self._time_out()
         else:
-            self._refuse(self._late_reason(Reason.TOO_LATE), MIN_RETRY_AFTER_MS)
+            self._refuse(self._deadline_reason(Reason.TOO_LATE), MIN_RETRY_AFTER_MS)
 
-    def _late_reason(self, reason: Reason) -> Reason:
+    def _deadline_reason(self, reason: Reason) -> Reason:
         """Return the reason at the deadline, or that this node's stop set it."""
-        return Reason.STOPPING if self._deadline.set_by_stop else reason
+        return Reason.STOPPING if self._deadline.set_by_shutdown else reason
 
     def _time_out(self) -> None:
         self._close(cancel=True)
-        self._ending.failed(self._late_reason(Reason.TIMEOUT), GATEWAY_TIMEOUT)
+        self._outcome.report_failed(
+            self._deadline_reason(Reason.TIMEOUT), GATEWAY_TIMEOUT
+        )
 
     def log_aborted(self) -> None:
         """Log that the node ends before the answer; its connection ends with it."""
-        self._ending.cut()
+        self._outcome.log_aborted()
 
     def on_fault(self) -> None:
         """Answer 502 after a fault of this program: the request may have run."""
@@ -463,18 +470,18 @@
             return
         self.context.runtime.run_guarded("call", self._close, True)
         self.done = True
-        self._ending.fault()
+        self._outcome.report_fault()
 
     def _close(self, cancel: bool) -> None:
         self.done = True
         self.context.calls_in_flight.discard(self)
         self._deadline.cancel()
-        self._placement.leave()
-        self._drop_former()
+        self._selector.release()
+        self._cancel_earlier_run()
         stream, self._stream = self._stream, None
         if cancel and stream is not None:
             stream.cancel()
-        self._body.drop()
+        self._body.clear()
         self.exchange.connection.resume_reading()
         self.exchange.sink = None
 
--- a/azurestep/mesh/callers/context.py
+++ b/azurestep/mesh/callers/context.py
@@ -18,7 +18,7 @@
 from ..runtime import Runtime
 
 
-class OpenCall(Protocol):
+class ActiveCall(Protocol):
     """An attempt that is not answered yet."""
 
     def limit_deadline(self, drain_deadline_ms: float) -> None:
@@ -36,7 +36,7 @@
     ----------
     calling_service : str
         Service of this instance, which backend servers are told.
-    calls_in_flight : set of OpenCall
+    calls_in_flight : set of ActiveCall
         Attempts that are not answered yet.
     drain_deadline_ms : float
         When the last of them is answered; a time only once the node is stopping.
@@ -51,7 +51,7 @@
     returning_callers: ReturningCallers = attrs.field(factory=ReturningCallers)
     answer_sizes: AnswerSizes = attrs.field(factory=AnswerSizes)
     refusals: RefusalMeter = attrs.field(factory=RefusalMeter)
-    calls_in_flight: set[OpenCall] = attrs.field(factory=set)
+    calls_in_flight: set[ActiveCall] = attrs.field(factory=set)
     drain_deadline_ms: float = math.inf
 
     def limit_deadline(self, drain_deadline_ms: float) -> None:
@@ -74,7 +74,7 @@
             request_key, first_attempt_ms, deadline_ms, first_attempt_ms < now_ms
         )
 
-    def offered(self, route: Route, service: str) -> None:
+    def record_offered(self, route: Route, service: str) -> None:
         """Count a request for a service."""
         self.refusals.record_offered(route.name, service, route.priority)
         self.retry_budget.members = self.members.count()
--- a/azurestep/mesh/callers/deadline.py
+++ b/azurestep/mesh/callers/deadline.py
@@ -17,7 +17,7 @@
         Until when its caller waits, and the operators let it.
     drain_deadline_ms : float
         When a stopping node answers; infinite while it is not stopping.
-    act : Callable
+    on_expiry : Callable
         Called when the time is over.
 
     Attributes
@@ -31,16 +31,16 @@
         runtime: Runtime,
         caller_deadline_ms: float,
         drain_deadline_ms: float,
-        act: Callable[[], None],
+        on_expiry: Callable[[], None],
     ) -> None:
         self._runtime = runtime
         self._caller_deadline_ms = caller_deadline_ms
-        self._act = act
+        self._on_expiry = on_expiry
         self.deadline_ms = min(caller_deadline_ms, drain_deadline_ms)
-        self._timer = self._call_at(self.deadline_ms)
+        self._timer = self._schedule_at(self.deadline_ms)
 
     @property
-    def set_by_stop(self) -> bool:
+    def set_by_shutdown(self) -> bool:
         """Whether the stop of this node ends the attempt before its caller would."""
         return self.deadline_ms < self._caller_deadline_ms
 
@@ -53,23 +53,23 @@
         if drain_deadline_ms < self.deadline_ms:
             self.deadline_ms = drain_deadline_ms
             self.cancel()
-            self._timer = self._call_at(drain_deadline_ms)
+            self._timer = self._schedule_at(drain_deadline_ms)
 
-    def wait_for_caller(self) -> bool:
+    def extend_to_caller_deadline(self) -> bool:
         """Go on to the caller's own deadline, if the stop's came before it."""
         if self._runtime.now_ms() >= self._caller_deadline_ms:
             return False
-        self._timer = self._call_at(self._caller_deadline_ms)
+        self._timer = self._schedule_at(self._caller_deadline_ms)
         return True
 
     def extend(self, wait_ms: float) -> None:
         """Call again after a short wait."""
-        self._timer = self._call_at(self._runtime.now_ms() + wait_ms)
+        self._timer = self._schedule_at(self._runtime.now_ms() + wait_ms)
 
     def cancel(self) -> None:
         """Call no more."""
         self._timer.cancel()
 
-    def _call_at(self, time_ms: float) -> asyncio.TimerHandle:
+    def _schedule_at(self, time_ms: float) -> asyncio.TimerHandle:
         wait_s = (time_ms - self._runtime.now_ms()) / 1000
-        return self._runtime.loop.call_later(wait_s, self._act)
+        return self._runtime.loop.call_later(wait_s, self._on_expiry)
--- a/azurestep/mesh/callers/former_run.py
+++ b/azurestep/mesh/callers/former_run.py
@@ -13,18 +13,18 @@
 from ..messages import Answer, Failure, Refusal
 
 
-class FormerRunOwner(Protocol):
+class EarlierRunOwner(Protocol):
     """The attempt that the run belongs to."""
 
-    def on_former_answer(self, former: "FormerRun", answer: Answer) -> None:
+    def on_earlier_answer(self, run: "EarlierRun", answer: Answer) -> None:
         """Take the answer, or its head and first bytes."""
 
-    def on_former_lost(self, former: "FormerRun", may_have_run: bool) -> None:
+    def on_earlier_lost(self, run: "EarlierRun", may_have_run: bool) -> None:
         """Learn that no answer comes of it, and whether it may have run."""
 
 
 @attrs.define(eq=False)
-class FormerRun:
+class EarlierRun:
     """Hears of the outcome of a run that its attempt does not wait for alone.
 
     Attributes
@@ -35,7 +35,7 @@
         The backend server that it is at.
     """
 
-    owner: FormerRunOwner
+    owner: EarlierRunOwner
     stream: Stream
     endpoint: Endpoint
 
@@ -45,18 +45,18 @@
 
     def on_answer(self, answer: Answer) -> None:
         """Offer the answer."""
-        self.owner.on_former_answer(self, answer)
+        self.owner.on_earlier_answer(self, answer)
 
     def on_answer_data(self, data: bytes, whole: bool) -> None:
         """Ignore; what follows the head goes to the attempt itself."""
 
     def on_refusal(self, refusal: Refusal) -> None:
         """Tell that it did not run after all."""
-        self.owner.on_former_lost(self, may_have_run=refusal.reached_backend)
+        self.owner.on_earlier_lost(self, may_have_run=refusal.reached_backend)
 
     def on_failure(self, failure: Failure) -> None:
         """Tell that it failed."""
-        self.owner.on_former_lost(self, may_have_run=True)
+        self.owner.on_earlier_lost(self, may_have_run=True)
 
     def on_credit(self, size: int) -> None:
         """Ignore; its body was whole when it was sent."""
@@ -69,4 +69,4 @@
 
     def on_fault(self) -> None:
         """Tell that a fault of this program ended it."""
-        self.owner.on_former_lost(self, may_have_run=True)
+        self.owner.on_earlier_lost(self, may_have_run=True)
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -14,9 +14,9 @@
 from .call import Call
 from .context import CallContext, Target
 from .ending import UNAVAILABLE
-from .own_answers import RETRY_WITHOUT_BACKEND_MS, answer_refused, id_header
+from .own_answers import NO_BACKEND_RETRY_AFTER_MS, answer_refused, id_header
 
-RETRY_SHED_MS = 120.0
+SHED_RETRY_AFTER_MS = 120.0
 """Time to come back after a refusal for another service's sake: short enough that
 an answer to the second attempt is within its objective."""
 NOT_FOUND = 404
@@ -58,7 +58,7 @@
             return
         service = table.choose_service(route)
         attempt = context.identify_attempt(exchange, caller)
-        if self._sheds(service, route.priority):
+        if self._should_shed(service, route.priority):
             exchange.sink = Rejection(
                 context.runtime,
                 exchange,
@@ -69,11 +69,11 @@
             )
             context.returning_callers.add(attempt)
             return
-        context.offered(route, service)
+        context.record_offered(route, service)
         target = Target(route, service, table.version)
         exchange.sink = Call(context, exchange, caller, target, attempt)
 
-    def _sheds(self, service: str, priority: int) -> bool:
+    def _should_shed(self, service: str, priority: int) -> bool:
         share = self.load_shedder.shed_ratio(service, priority)
         return share > 0 and self.context.runtime.random.random() < share
 
@@ -112,7 +112,7 @@
         self.runtime.metrics.count("calls", f"rejected_{self.status}")
         if self.status == UNAVAILABLE:
             shed = self.reason is Reason.PRESSURE
-            retry_after_ms = RETRY_SHED_MS if shed else RETRY_WITHOUT_BACKEND_MS
+            retry_after_ms = SHED_RETRY_AFTER_MS if shed else NO_BACKEND_RETRY_AFTER_MS
             answer_refused(self.runtime, self.exchange, self.request_id, retry_after_ms)
         else:
             headers = id_header(self.request_id)
--- a/azurestep/mesh/callers/outgoing.py
+++ b/azurestep/mesh/callers/outgoing.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Outgoing:
+class RequestBuilder:
     """Makes the requests of one attempt, one for each backend server asked."""
 
     context: CallContext
@@ -29,15 +29,17 @@
             route,
             self.record.objective_ms(now_ms),
             context.mean_run_times.get(route),
-            self._size_kib(),
+            self._transfer_kib(),
             context.members.data_centre,
         )
 
-    def request(self, now_ms: float, deadline_ms: float, endpoint: Endpoint) -> Request:
+    def build_request(
+        self, now_ms: float, deadline_ms: float, endpoint: Endpoint
+    ) -> Request:
         """Return the request for a backend server, which has until ``deadline_ms``."""
         exchange, body = self.exchange, self.body
         record, route = self.record, self.record.route
-        bulk = self.sends_later(endpoint)
+        deferred = self.defers_body(endpoint)
         return Request(
             exchange.method,
             exchange.target,
@@ -53,14 +55,15 @@
             record.objective_ms(now_ms),
             now_ms,
             -1 if exchange.chunked else exchange.length,
-            body.whole and not bulk,
-            b"" if bulk else body.content(),
+            body.whole and not deferred,
+            b"" if deferred else body.content(),
             endpoint.incarnation.started_ms,
             self.context.mean_run_times.get_or_zero(route.name),
-            needs_confirmation=not body.streamed and (bulk or not self.is_movable()),
+            needs_confirmation=not body.streamed
+            and (deferred or not self.is_reroutable()),
         )
 
-    def is_movable(self) -> bool:
+    def is_reroutable(self) -> bool:
         """Whether the request may go elsewhere on a mere doubt, once it was let go.
 
         Not if its answer is long: probes wait behind long answers on a narrow link, and
@@ -71,11 +74,11 @@
         answer_bytes = self.context.answer_sizes.mean_kib(self.record.route.name) * 1024
         return self.record.route.idempotent and answer_bytes <= LARGE_BODY_BYTES
 
-    def sends_later(self, endpoint: Endpoint) -> bool:
+    def defers_body(self, endpoint: Endpoint) -> bool:
         """Whether the body is sent only once the other node asks for it."""
-        return self.body.is_bulk and not self.context.members.is_own(endpoint)
+        return self.body.is_deferred and not self.context.members.is_local(endpoint)
 
-    def _size_kib(self) -> float:
+    def _transfer_kib(self) -> float:
         """Return the size of the request's body and its likely answer."""
         body_bytes = max(self.body.size_bytes, self.exchange.length)
         return (
--- a/azurestep/mesh/callers/placement.py
+++ b/azurestep/mesh/callers/placement.py
@@ -5,12 +5,12 @@
 from ..decisions.choice import Endpoint, SelectionCriteria, choose_endpoint
 from .context import CallContext
 
-FAILED_MS = 400.0
+AVOID_AFTER_FAILURE_MS = 400.0
 """Time for which a backend server that failed is chosen only without another."""
 
 
 @attrs.define(slots=True, eq=False)
-class Placement:
+class EndpointSelector:
     """The backend server that was chosen for one attempt.
 
     Attributes
@@ -34,12 +34,12 @@
             self.context.runtime.random,
         )
 
-    def take(self, endpoint: Endpoint) -> None:
+    def assign(self, endpoint: Endpoint) -> None:
         """Ask a backend server."""
         self.endpoint = endpoint
         endpoint.own_in_flight += 1
 
-    def leave(self) -> Endpoint | None:
+    def release(self) -> Endpoint | None:
         """Ask it no longer; return it, if one was asked."""
         endpoint, self.endpoint = self.endpoint, None
         if endpoint is not None:
@@ -53,9 +53,11 @@
     def avoid(self, endpoint: Endpoint) -> None:
         """Ask a backend server that failed only without another, for any attempt."""
         self.exclude(endpoint)
-        endpoint.failed_until_ms = self.context.runtime.now_ms() + FAILED_MS
+        endpoint.failed_until_ms = (
+            self.context.runtime.now_ms() + AVOID_AFTER_FAILURE_MS
+        )
 
-    def has_other(self) -> bool:
+    def has_alternative(self) -> bool:
         """Whether a backend server is left that is open and not in doubt."""
         return any(
             other.open and not other.unresponsive and other.key not in self._excluded
--- a/azurestep/mesh/callers/record.py
+++ b/azurestep/mesh/callers/record.py
@@ -7,7 +7,7 @@
 from ..decisions.returning import Attempt
 from ..messages import Answer, Reason
 
-GOOD_BELOW = 300
+FIRST_FAILURE_STATUS = 300
 
 
 @attrs.define(slots=True, eq=False)
@@ -16,7 +16,7 @@
 
     Attributes
     ----------
-    asked : int
+    nodes_asked : int
         Nodes that were asked.
     runs : int
         Backend servers that the request may have reached.
@@ -32,7 +32,7 @@
     version: int
     attempt: Attempt
     arrived_ms: float
-    asked: int = 0
+    nodes_asked: int = 0
     runs: int = 0
     instance: bytes = b""
     waited_ms: float = 0.0
@@ -42,13 +42,13 @@
         """Return the time until the answer loses value, negative once it has."""
         return self.route.objective_ms - (now_ms - self.attempt.first_attempt_ms)
 
-    def answered(self, answer: Answer) -> None:
+    def record_times(self, answer: Answer) -> None:
         """Take in what an answer tells of its way."""
         self.waited_ms, self.ran_ms = answer.waited_ms, answer.ran_ms
 
-    def log_end(self, status: int, now_ms: float) -> None:
+    def log_answered(self, status: int, now_ms: float) -> None:
         """Log that the caller got a backend server's answer."""
-        in_time = status < GOOD_BELOW and self.objective_ms(now_ms) >= 0
+        in_time = status < FIRST_FAILURE_STATUS and self.objective_ms(now_ms) >= 0
         log = events.log_routine if in_time else events.log
         log(events.CALL_ENDED, **self._fields(status, "", now_ms))
 
@@ -64,7 +64,7 @@
         """Log that another backend server is asked."""
         events.log(events.CALL_RETRIED, **self._fields(status, reason.name, now_ms))
 
-    def log_gone(self, now_ms: float) -> None:
+    def log_disconnected(self, now_ms: float) -> None:
         """Log that the caller left."""
         events.log(
             events.CALLER_DISCONNECTED,
@@ -83,7 +83,7 @@
             "instance": self.instance,
             "status": status,
             "reason": reason,
-            "asked": self.asked,
+            "asked": self.nodes_asked,
             "runs": self.runs,
             "after_ms": round(now_ms - self.arrived_ms),
             "left_ms": round(self.objective_ms(now_ms)),
--- a/azurestep/mesh/knowledge/configuration.py
+++ b/azurestep/mesh/knowledge/configuration.py
@@ -56,7 +56,7 @@
             return False
         if document.version <= self.version:
             return False
-        self.table = self._table_of(document)
+        self.table = self._build_table(document)
         self.content = content
         if source == SOURCE_STORE:
             self.store_version = document.version
@@ -69,7 +69,7 @@
         self.on_change(self.table)
         return True
 
-    def _table_of(self, document: Document) -> RoutingTable:
+    def _build_table(self, document: Document) -> RoutingTable:
         if self.table is None:
             return RoutingTable(document, self.random)
         return self.table.updated_to(document)
--- a/azurestep/mesh/knowledge/configuration_watcher.py
+++ b/azurestep/mesh/knowledge/configuration_watcher.py
@@ -23,16 +23,16 @@
 from ..runtime import Runtime
 from .configuration import SOURCE_STORE, Configuration
 
-POLL_MS = 1000
+LONG_POLL_MS = 1000
 """Length of a long poll. A reader whose connection went silent knows it after this
 and half a second, well inside the bound of two seconds for a new version."""
-IDLE_CHECK_S = 0.1
+ROLE_CHECK_S = 0.1
 """How often a node that is no reader looks whether it should be one."""
-FAILED_PAUSE_S = (0.2, 0.4, 0.8)
+RETRY_PAUSES_S = (0.2, 0.4, 0.8)
 """Pauses of a reader after calls that failed."""
-BYSTANDER_PAUSE_S = 2.0
+FALLBACK_RETRY_PAUSE_S = 2.0
 """Pause of a node without any reader left that is not first in order."""
-BEHIND_MS = 250.0
+CATCH_UP_AFTER_MS = 250.0
 """Time after which a node asks for a version that another one has."""
 
 
@@ -57,46 +57,46 @@
     _offset: int | None = None
     _failures: int = 0
     _behind_since_ms: float | None = None
-    _woken: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _wake_event: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def run(self) -> None:
         """Read for as long as the node runs."""
         while True:
             if self.configuration.version and not self._should_read():
-                await self._pause(IDLE_CHECK_S)
+                await self._pause(ROLE_CHECK_S)
                 continue
             if await self._read_once():
                 self._failures = 0
                 continue
-            await asyncio.sleep(self._failed_pause_s())
+            await asyncio.sleep(self._retry_pause_s())
 
     def wake(self) -> None:
         """Look at once whether this node should read."""
-        self._woken.set()
+        self._wake_event.set()
 
     def tick(self, now_ms: float) -> None:
         """Ask another node for a version that this one lacks."""
-        newest = None
+        candidate = None
         for link in self.members.live_links():
             version = link.state.configuration_version if link.state is not None else 0
             if version <= self.configuration.version:
                 continue
-            near = link.endpoint.data_centre == self.members.data_centre
-            if newest is None or (near, version) > newest[:2]:
-                newest = (near, version, link)
-        if newest is None:
+            is_local = link.endpoint.data_centre == self.members.data_centre
+            if candidate is None or (is_local, version) > candidate[:2]:
+                candidate = (is_local, version, link)
+        if candidate is None:
             self._behind_since_ms = None
             return
         if self._behind_since_ms is None:
             self._behind_since_ms = now_ms
-        elif now_ms - self._behind_since_ms > BEHIND_MS:
+        elif now_ms - self._behind_since_ms > CATCH_UP_AFTER_MS:
             self._behind_since_ms = now_ms
-            newest[2].ask_configuration()
+            candidate[2].request_configuration()
 
     def _should_read(self) -> bool:
-        return not self._readers_before()
+        return not self._preferred_readers()
 
-    def _readers_before(self) -> list[str]:
+    def _preferred_readers(self) -> list[str]:
         own = self.members.own_address[0]
         return [
             link.address[0]
@@ -110,27 +110,27 @@
 
     async def _read_once(self) -> bool:
         if self._offset is None:
-            return await self._read_newest()
-        outcome = await self.client.read(OPERATOR_TOPIC, self._offset, POLL_MS)
+            return await self._read_latest()
+        outcome = await self.client.read(OPERATOR_TOPIC, self._offset, LONG_POLL_MS)
         if isinstance(outcome, Records):
-            self._answered()
+            self._mark_reachable()
             self._offset = outcome.next_offset
-            self._offer_newest(outcome.values)
+            self._apply_latest(outcome.values)
             return True
         if isinstance(outcome, Truncated):
-            self._answered()
+            self._mark_reachable()
             self._offset = None
             return True
-        self._unanswered(repr(outcome))
+        self._mark_unreachable(repr(outcome))
         return False
 
-    def _offer_newest(self, records: list[bytes]) -> None:
+    def _apply_latest(self, records: list[bytes]) -> None:
         """Offer the newest document that can be read, and pass other writers' by."""
         for record in reversed(records):
-            if self._takes(record):
+            if self._apply_record(record):
                 return
 
-    def _takes(self, record: bytes) -> bool:
+    def _apply_record(self, record: bytes) -> bool:
         keyed = parse_keyed_record(record)
         if keyed is None:
             events.log(events.RECORD_UNREADABLE, topic=OPERATOR_TOPIC, records=1)
@@ -139,12 +139,12 @@
             return False
         return self.configuration.apply_if_newer(keyed.value, SOURCE_STORE)
 
-    async def _read_newest(self) -> bool:
+    async def _read_latest(self) -> bool:
         outcome = await self.client.read_latest(OPERATOR_TOPIC)
         if not isinstance(outcome, LatestRecords):
-            self._unanswered(repr(outcome))
+            self._mark_unreachable(repr(outcome))
             return False
-        self._answered()
+        self._mark_reachable()
         self._offset = outcome.end_offset
         if outcome.unreadable:
             events.log(
@@ -158,15 +158,15 @@
         return True
 
     async def _pause(self, seconds: float) -> None:
-        self._woken.clear()
+        self._wake_event.clear()
         try:
             async with asyncio.timeout(seconds):
-                await self._woken.wait()
+                await self._wake_event.wait()
         except TimeoutError:
             return
 
-    def _failed_pause_s(self) -> float:
-        pause = FAILED_PAUSE_S[min(self._failures, len(FAILED_PAUSE_S) - 1)]
+    def _retry_pause_s(self) -> float:
+        pause = RETRY_PAUSES_S[min(self._failures, len(RETRY_PAUSES_S) - 1)]
         self._failures += 1
         first = all(
             link.address[0] > self.members.own_address[0]
@@ -174,16 +174,16 @@
             if link.endpoint.data_centre == self.members.data_centre
         )
         if not first and self.configuration.version:
-            pause = BYSTANDER_PAUSE_S
+            pause = FALLBACK_RETRY_PAUSE_S
         return pause * (0.75 + self.runtime.random.random() / 2)
 
-    def _answered(self) -> None:
+    def _mark_reachable(self) -> None:
         if not self.store_reachable:
             self.store_reachable = True
             events.log(events.STORE_REACHED)
             self.on_store_change()
 
-    def _unanswered(self, cause: str) -> None:
+    def _mark_unreachable(self, cause: str) -> None:
         self.runtime.metrics.count("store_failures")
         if self.store_reachable:
             self.store_reachable = False
--- a/azurestep/mesh/knowledge/discovery.py
+++ b/azurestep/mesh/knowledge/discovery.py
@@ -23,9 +23,9 @@
 from ..links.members import Members
 from ..runtime import Runtime
 
-PAUSE_S = (0.1, 0.3, 0.6, 1.2)
+RETRY_PAUSES_S = (0.1, 0.3, 0.6, 1.2)
 """Pauses between attempts while the store does not answer."""
-EPOCH_STEP = 60_000
+EPOCH_STEP_MS = 60_000
 """Step to a higher epoch, in ms, if a process before this one had a later clock."""
 
 
@@ -52,10 +52,10 @@
         _, port = self.members.own_address
         value = write_member(port)
         attempts = 0
-        while not isinstance(await self._put(value), Appended):
+        while not isinstance(await self._write_address(value), Appended):
             await self._pause(attempts)
             attempts += 1
-        while not await self._read():
+        while not await self._read_addresses():
             await self._pause(attempts)
             attempts += 1
         self.done = True
@@ -68,17 +68,17 @@
         """
         if self.done:
             self._sequence += 1
-            await self._put(b"")
+            await self._write_address(b"")
 
-    async def _put(self, value: bytes) -> AppendOutcome:
+    async def _write_address(self, value: bytes) -> AppendOutcome:
         host = self.members.own_address[0]
         producer = Producer(host, self.epoch, self._sequence)
         outcome = await self.client.put(MEMBERS_TOPIC, host, value, producer)
         if isinstance(outcome, Fenced):
-            self.epoch += EPOCH_STEP
+            self.epoch += EPOCH_STEP_MS
         return outcome
 
-    async def _read(self) -> bool:
+    async def _read_addresses(self) -> bool:
         outcome = await self.client.read_latest(MEMBERS_TOPIC)
         if not isinstance(outcome, LatestRecords):
             return False
@@ -89,10 +89,10 @@
                 records=outcome.unreadable,
             )
         for item in outcome.items:
-            self._learn(item.key, item.value)
+            self._add_member(item.key, item.value)
         return True
 
-    def _learn(self, host: str, value: bytes) -> None:
+    def _add_member(self, host: str, value: bytes) -> None:
         if not value:
             return
         try:
@@ -101,5 +101,5 @@
             events.log(events.PEER_MALFORMED, peer=host[:80], cause=error.problem)
 
     async def _pause(self, attempts: int) -> None:
-        pause = PAUSE_S[min(attempts, len(PAUSE_S) - 1)]
+        pause = RETRY_PAUSES_S[min(attempts, len(RETRY_PAUSES_S) - 1)]
         await asyncio.sleep(pause * (0.75 + self.runtime.random.random() / 2))
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -28,10 +28,10 @@
     fields_of,
 )
 from ..runtime import Runtime
-from .decoding import OF_CALLED_NODES, WHOLE_LINK, Decoder
-from .interfaces import CallReceiver, PeerNews
+from .decoding import NO_STREAM, OF_CALLED_NODES, Decoder
+from .interfaces import CallReceiver, FleetListener
 
-BUSY_PING_MS = 90.0
+BUSY_PROBE_INTERVAL_MS = 90.0
 """Time between probes of a link with requests under way."""
 
 
@@ -42,7 +42,7 @@
     connection: "PeerConnection | None"
 
     @property
-    def fleet(self) -> PeerNews:
+    def fleet_listener(self) -> FleetListener:
         """What hears of news that concern the whole fleet."""
 
     def on_hello(self, connection: "PeerConnection", hello: Hello) -> None:
@@ -61,27 +61,27 @@
 
     Attributes
     ----------
-    movable : bool
+    reroutable : bool
         Whether it may go elsewhere when the link falls silent, though it may have run.
     confirmed : bool
         Whether the other node may have sent it to its backend server.
     """
 
     connection: "PeerConnection"
-    number: int
+    stream_id: int
     receiver: CallReceiver
-    movable: bool
+    reroutable: bool
     confirmed: bool
     request_id: bytes = b""
 
     def body(self, data: bytes, whole: bool) -> None:
         """Send more of the body."""
-        self.connection.send(Kind.BODY, self.number, data, whole)
+        self.connection.send(Kind.BODY, self.stream_id, data, whole)
 
     def cancel(self) -> None:
         """Stop the request."""
-        if self.connection.streams.pop(self.number, None) is not None:
-            self.connection.send(Kind.CANCEL, self.number)
+        if self.connection.streams.pop(self.stream_id, None) is not None:
+            self.connection.send(Kind.CANCEL, self.stream_id)
             self.connection.close_if_done()
 
     @property
@@ -91,11 +91,11 @@
 
     def withdraw(self) -> None:
         """Stop the request and have the other node say whether it had not run."""
-        self.connection.send(Kind.WITHDRAW, self.number)
+        self.connection.send(Kind.WITHDRAW, self.stream_id)
 
     def grant(self, size: int) -> None:
         """Take more of the answer."""
-        self.connection.send(Kind.CREDIT, self.number, size)
+        self.connection.send(Kind.CREDIT, self.stream_id, size)
 
     def replace_receiver(self, receiver: CallReceiver) -> None:
         """Have another receiver hear of the outcome."""
@@ -108,18 +108,18 @@
     def __init__(self, link: ConnectionOwner) -> None:
         self.link = link
         self.streams: dict[int, RemoteStream] = {}
-        self.received_ms = link.runtime.now_ms()
-        self.pinged_ms = self.received_ms
+        self.last_received_ms = link.runtime.now_ms()
+        self.last_probe_ms = self.last_received_ms
         self._decoder = Decoder(OF_CALLED_NODES)
         self._transport: asyncio.Transport | None = None
-        self._next = 0
+        self._last_stream_id = 0
         self._retired = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Greet the other node."""
         self._transport = transport  # type: ignore[assignment]
         self.link.connection = self
-        self.send(Kind.HELLO, *fields_of(self.link.fleet.hello()))
+        self.send(Kind.HELLO, *fields_of(self.link.fleet_listener.hello()))
         self.ping()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -129,11 +129,11 @@
 
     def data_received(self, data: bytes) -> None:
         """Take messages."""
-        self.received_ms = self.link.runtime.now_ms()
-        for number, message in self._decoder.feed(data):
+        self.last_received_ms = self.link.runtime.now_ms()
+        for stream_id, message in self._decoder.feed(data):
             stream = None
-            if number != WHOLE_LINK:
-                stream = self.streams.get(number)
+            if stream_id != NO_STREAM:
+                stream = self.streams.get(stream_id)
                 if stream is None:
                     continue
             try:
@@ -154,47 +154,47 @@
             stream.cancel()
             runtime.run_guarded("call", stream.receiver.on_fault)
 
-    def open(self, request: Request, receiver: CallReceiver) -> RemoteStream:
+    def open_stream(self, request: Request, receiver: CallReceiver) -> RemoteStream:
         """Send a request."""
-        self._next += 1
+        self._last_stream_id += 1
         stream = RemoteStream(
             self,
-            self._next,
+            self._last_stream_id,
             receiver,
-            movable=request.idempotent and not request.needs_confirmation,
+            reroutable=request.idempotent and not request.needs_confirmation,
             confirmed=not request.needs_confirmation,
             request_id=request.request_id,
         )
-        self.streams[self._next] = stream
-        self.send(Kind.REQUEST, self._next, *fields_of(request))
-        self._probe_rested()
+        self.streams[self._last_stream_id] = stream
+        self.send(Kind.REQUEST, self._last_stream_id, *fields_of(request))
+        self._probe_if_idle()
         return stream
 
-    def _probe_rested(self) -> None:
+    def _probe_if_idle(self) -> None:
         """Probe along with a request if the link rested: it may have died meanwhile."""
-        age_ms = self.link.runtime.now_ms() - self.received_ms
-        if self.answered and age_ms > BUSY_PING_MS:
+        age_ms = self.link.runtime.now_ms() - self.last_received_ms
+        if self.probe_answered and age_ms > BUSY_PROBE_INTERVAL_MS:
             self.ping()
 
     @property
-    def answered(self) -> bool:
+    def probe_answered(self) -> bool:
         """Whether something came since the last probe."""
-        return self.received_ms >= self.pinged_ms
+        return self.last_received_ms >= self.last_probe_ms
 
     def mark_unresponsive(self) -> None:
         """Let the senders of all requests look for another way."""
         for stream in list(self.streams.values()):
-            self._doubt(stream)
+            self._notify_unresponsive(stream)
 
-    def _doubt(self, stream: RemoteStream) -> None:
-        self._tell(stream, stream.receiver.on_unresponsive, stream.confirmed)
+    def _notify_unresponsive(self, stream: RemoteStream) -> None:
+        self._notify(stream, stream.receiver.on_unresponsive, stream.confirmed)
 
-    def _tell(
-        self, stream: RemoteStream, hear: Callable[[Any], None], news: object
+    def _notify(
+        self, stream: RemoteStream, notify: Callable[[Any], None], event: object
     ) -> None:
         """Tell one sender; a fault there keeps no other from being told."""
         try:
-            hear(news)
+            notify(event)
         except Exception as error:
             self._contain(stream, error)
 
@@ -205,8 +205,8 @@
 
     def ping(self) -> None:
         """Ask for a sign of life."""
-        self.pinged_ms = self.link.runtime.now_ms()
-        self.send(Kind.PING, self.pinged_ms)
+        self.last_probe_ms = self.link.runtime.now_ms()
+        self.send(Kind.PING, self.last_probe_ms)
 
     def abort(self) -> None:
         """Reset the connection, so that bytes held up on the way are lost."""
@@ -220,12 +220,12 @@
         at work. Given up without another way, such a request failed though its answer
         was on the way; on a stopping node that cuts a caller's request.
         """
-        for number, stream in list(self.streams.items()):
-            if stream.confirmed and stream.movable:
-                self._doubt(stream)
+        for stream_id, stream in list(self.streams.items()):
+            if stream.confirmed and stream.reroutable:
+                self._notify_unresponsive(stream)
             elif not stream.confirmed:
-                self.send(Kind.CANCEL, number)
-                self._fail(number, stream)
+                self.send(Kind.CANCEL, stream_id)
+                self._fail(stream_id, stream)
         self._retired = True
         self.close_if_done()
 
@@ -238,72 +238,72 @@
             self.abort()
 
     def _fail_streams(self) -> None:
-        for number, stream in list(self.streams.items()):
-            self._fail(number, stream)
+        for stream_id, stream in list(self.streams.items()):
+            self._fail(stream_id, stream)
 
-    def _fail(self, number: int, stream: RemoteStream) -> None:
-        if self.streams.pop(number, None) is None:
+    def _fail(self, stream_id: int, stream: RemoteStream) -> None:
+        if self.streams.pop(stream_id, None) is None:
             return
         receiver, reason = stream.receiver, int(Reason.LINK_LOST)
         if stream.confirmed:
-            self._tell(stream, receiver.on_failure, Failure(reason, 0))
+            self._notify(stream, receiver.on_failure, Failure(reason, 0))
         else:
-            self._tell(stream, receiver.on_refusal, Refusal(reason, 0, 0.0))
+            self._notify(stream, receiver.on_refusal, Refusal(reason, 0, 0.0))
 
-    def _tell_state(self, _: None, state: State) -> None:
+    def _on_state(self, _: None, state: State) -> None:
         self.link.on_state(self, state)
 
-    def _greet(self, _: None, hello: Hello) -> None:
+    def _on_hello(self, _: None, hello: Hello) -> None:
         self.link.on_hello(self, hello)
 
-    def _pong(self, _: None, pong: Pong) -> None:
+    def _on_pong(self, _: None, pong: Pong) -> None:
         """Any message is a sign of life."""
 
-    def _configuration(self, _: None, news: ConfigurationUpdate) -> None:
-        self.link.fleet.on_configuration(news.version, news.content)
+    def _on_configuration(self, _: None, news: ConfigurationUpdate) -> None:
+        self.link.fleet_listener.on_configuration(news.version, news.content)
 
-    def _crashes(self, _: None, news: CrashReport) -> None:
-        self.link.fleet.on_crashes(news.service, news.updates)
+    def _on_crashes(self, _: None, news: CrashReport) -> None:
+        self.link.fleet_listener.on_crashes(news.service, news.updates)
 
-    def _answer(self, stream: RemoteStream, answer: Answer) -> None:
+    def _on_answer(self, stream: RemoteStream, answer: Answer) -> None:
         if answer.whole:
-            self.streams.pop(stream.number, None)
+            self.streams.pop(stream.stream_id, None)
         stream.receiver.on_answer(answer)
 
-    def _answer_data(self, stream: RemoteStream, more: AnswerData) -> None:
+    def _on_answer_data(self, stream: RemoteStream, more: AnswerData) -> None:
         if more.whole:
-            self.streams.pop(stream.number, None)
+            self.streams.pop(stream.stream_id, None)
         stream.receiver.on_answer_data(more.data, more.whole)
 
-    def _refusal(self, stream: RemoteStream, refusal: Refusal) -> None:
-        self.streams.pop(stream.number, None)
+    def _on_refusal(self, stream: RemoteStream, refusal: Refusal) -> None:
+        self.streams.pop(stream.stream_id, None)
         stream.receiver.on_refusal(refusal)
 
-    def _failure(self, stream: RemoteStream, failure: Failure) -> None:
-        self.streams.pop(stream.number, None)
+    def _on_failure(self, stream: RemoteStream, failure: Failure) -> None:
+        self.streams.pop(stream.stream_id, None)
         stream.receiver.on_failure(failure)
 
-    def _ready(self, stream: RemoteStream, _: SlotReady) -> None:
+    def _on_slot_ready(self, stream: RemoteStream, _: SlotReady) -> None:
         stream.confirmed = True
-        self.send(Kind.PROCEED, stream.number)
+        self.send(Kind.PROCEED, stream.stream_id)
         stream.receiver.on_slot_ready()
 
-    def _credit(self, stream: RemoteStream, credit: Credit) -> None:
+    def _on_credit(self, stream: RemoteStream, credit: Credit) -> None:
         stream.receiver.on_credit(credit.size)
 
 
 HANDLERS: dict[type, Callable[[PeerConnection, Any, Any], None]] = {
-    State: PeerConnection._tell_state,
-    Hello: PeerConnection._greet,
-    Pong: PeerConnection._pong,
-    ConfigurationUpdate: PeerConnection._configuration,
-    CrashReport: PeerConnection._crashes,
-    Answer: PeerConnection._answer,
-    AnswerData: PeerConnection._answer_data,
-    Refusal: PeerConnection._refusal,
-    Failure: PeerConnection._failure,
-    SlotReady: PeerConnection._ready,
-    Credit: PeerConnection._credit,
+    State: PeerConnection._on_state,
+    Hello: PeerConnection._on_hello,
+    Pong: PeerConnection._on_pong,
+    ConfigurationUpdate: PeerConnection._on_configuration,
+    CrashReport: PeerConnection._on_crashes,
+    Answer: PeerConnection._on_answer,
+    AnswerData: PeerConnection._on_answer_data,
+    Refusal: PeerConnection._on_refusal,
+    Failure: PeerConnection._on_failure,
+    SlotReady: PeerConnection._on_slot_ready,
+    Credit: PeerConnection._on_credit,
 }
 """What is done with a message, by its type: a table costs less than ``singledispatch``,
 and each request passes here several times."""
--- a/azurestep/mesh/links/decoding.py
+++ b/azurestep/mesh/links/decoding.py
@@ -41,13 +41,13 @@
     decompress,
 )
 
-READ_BYTES = 8192
+INITIAL_BUFFER_BYTES = 8192
 """First size of a link's buffer. The library's own choice of 1 MiB for each link
 made the peak memory of a node with 24 links 39 MB."""
-ITEMS_MOST = 1_000_000
+MAX_ARRAY_ITEMS = 1_000_000
 """Most items of an array. Room for them is taken as soon as their number is read: at
 the library's limit, five bytes take 800 MB."""
-WHOLE_LINK = 0
+NO_STREAM = 0
 """Number that stands for the request in messages that concern none."""
 BUILT_IN = (bytes,)
 as_tuple = msgspec.structs.astuple
@@ -72,52 +72,52 @@
     | ConfigurationUpdate
     | CrashReport
 )
-Number = Annotated[int, msgspec.Meta(ge=1)]
+StreamId = Annotated[int, msgspec.Meta(ge=1)]
 
 
 @attrs.frozen(slots=True)
-class Shape:
+class MessageSchema:
     """What messages of one kind look like.
 
     Attributes
     ----------
-    typed : Callable
+    validate : Callable
         Checks kind, number, if it has one, and fields, and returns them as a row.
-    make : Callable
+    build : Callable
         Returns the message with the fields behind kind and number.
-    of_request : bool
+    has_stream_id : bool
         Whether it concerns one request, whose number comes second.
     """
 
-    typed: Callable[[tuple[Any, ...]], Any]
-    make: Callable[..., Message]
-    of_request: bool
+    validate: Callable[[tuple[Any, ...]], Any]
+    build: Callable[..., Message]
+    has_stream_id: bool
 
 
-Shapes = dict[int, Shape]
+MessageSchemas = dict[int, MessageSchema]
 
 
-def _shape(
+def _schema(
     of: type,
-    make: Callable[..., Message] | None = None,
-    of_request: bool = True,
-    **changed: Any,
-) -> Shape:
-    """Return the shape of a class's messages; fields with defaults may be missing."""
+    build: Callable[..., Message] | None = None,
+    has_stream_id: bool = True,
+    **overrides: Any,
+) -> MessageSchema:
+    """Return the schema of a class's messages; fields with defaults may be missing."""
     columns: list[Any] = [("kind_", int)]
-    if of_request:
-        columns.append(("number_", Number))
+    if has_stream_id:
+        columns.append(("number_", StreamId))
     for field in attrs.fields(attrs.resolve_types(of)):
-        column = (field.name, changed.get(field.name, field.type))
+        column = (field.name, overrides.get(field.name, field.type))
         has_default = field.default is not attrs.NOTHING
         columns.append((*column, field.default) if has_default else column)
     row = msgspec.defstruct(
         of.__name__, columns, array_like=True, forbid_unknown_fields=of is not Hello
     )
-    return Shape(_checker(row), make or of, of_request)
+    return MessageSchema(_make_validator(row), build or of, has_stream_id)
 
 
-def _checker(row: type) -> Callable[[tuple[Any, ...]], Any]:
+def _make_validator(row: type) -> Callable[[tuple[Any, ...]], Any]:
     """Return what checks a row; text counts as bytes only if told so, which costs."""
     convert = msgspec.convert
     if "bytes" in repr(typing.get_type_hints(row)):
@@ -125,49 +125,53 @@
     return lambda fields: convert(fields, row)
 
 
-def _hello(*fields: Any) -> Hello:
+def _build_hello(*fields: Any) -> Hello:
     hello = Hello(*fields)
     if hello.format != PROTOCOL_VERSION:
         raise ValueError(f"protocol format {hello.format}")
     return hello
 
 
-def _configuration(version: int, data: bytes) -> ConfigurationUpdate:
+def _build_configuration(version: int, data: bytes) -> ConfigurationUpdate:
     return ConfigurationUpdate(version, decompress(data))
 
 
-def _crashes(service: str, rows: Iterable[Any]) -> CrashReport:
+def _build_crashes(service: str, rows: Iterable[Any]) -> CrashReport:
     return CrashReport(service, decode_updates(rows))
 
 
-_HELLO = _shape(Hello, _hello, of_request=False)
-_CREDIT = _shape(Credit)
+_HELLO = _schema(Hello, _build_hello, has_stream_id=False)
+_CREDIT = _schema(Credit)
 _CRASH_ROWS = tuple[tuple[int, tuple[tuple[str, int, int], ...], float], ...]
 
-OF_CALLING_NODES: Shapes = {
+OF_CALLING_NODES: MessageSchemas = {
     Kind.HELLO: _HELLO,
-    Kind.PING: _shape(Ping, of_request=False),
-    Kind.REQUEST: _shape(Request),
-    Kind.BODY: _shape(Body),
-    Kind.CANCEL: _shape(Cancel),
-    Kind.WITHDRAW: _shape(Withdraw),
-    Kind.PROCEED: _shape(Proceed),
+    Kind.PING: _schema(Ping, has_stream_id=False),
+    Kind.REQUEST: _schema(Request),
+    Kind.BODY: _schema(Body),
+    Kind.CANCEL: _schema(Cancel),
+    Kind.WITHDRAW: _schema(Withdraw),
+    Kind.PROCEED: _schema(Proceed),
     Kind.CREDIT: _CREDIT,
-    Kind.CONFIGURATION_QUERY: _shape(ConfigurationQuery, of_request=False),
+    Kind.CONFIGURATION_QUERY: _schema(ConfigurationQuery, has_stream_id=False),
 }
 """What the node that opened a link sends."""
-OF_CALLED_NODES: Shapes = {
+OF_CALLED_NODES: MessageSchemas = {
     Kind.HELLO: _HELLO,
-    Kind.STATE: _shape(State, of_request=False),
-    Kind.PONG: _shape(Pong, of_request=False),
-    Kind.SLOT_READY: _shape(SlotReady),
+    Kind.STATE: _schema(State, has_stream_id=False),
+    Kind.PONG: _schema(Pong, has_stream_id=False),
+    Kind.SLOT_READY: _schema(SlotReady),
     Kind.CREDIT: _CREDIT,
-    Kind.ANSWER: _shape(Answer),
-    Kind.ANSWER_DATA: _shape(AnswerData),
-    Kind.REFUSAL: _shape(Refusal, reason=Reason),
-    Kind.FAILURE: _shape(Failure, reason=Reason),
-    Kind.CONFIGURATION: _shape(ConfigurationUpdate, _configuration, of_request=False),
-    Kind.CRASHES: _shape(CrashReport, _crashes, of_request=False, updates=_CRASH_ROWS),
+    Kind.ANSWER: _schema(Answer),
+    Kind.ANSWER_DATA: _schema(AnswerData),
+    Kind.REFUSAL: _schema(Refusal, reason=Reason),
+    Kind.FAILURE: _schema(Failure, reason=Reason),
+    Kind.CONFIGURATION: _schema(
+        ConfigurationUpdate, _build_configuration, has_stream_id=False
+    ),
+    Kind.CRASHES: _schema(
+        CrashReport, _build_crashes, has_stream_id=False, updates=_CRASH_ROWS
+    ),
 }
 """What the node that a link leads to sends."""
 
@@ -177,7 +181,7 @@
 
     Parameters
     ----------
-    shapes : dict
+    schemas : dict
         What the other end may send; other kinds are those of a newer program and are
         passed by.
 
@@ -196,15 +200,15 @@
     ([], 'Expected `int`, got `str` - at `$[2]`')
     """
 
-    def __init__(self, shapes: Shapes) -> None:
+    def __init__(self, schemas: MessageSchemas) -> None:
         self.fault = ""
-        self._shapes = shapes
+        self._schemas = schemas
         self._unpacker = msgpack.Unpacker(
             raw=False,
             use_list=False,
-            read_size=READ_BYTES,
+            read_size=INITIAL_BUFFER_BYTES,
             max_buffer_size=BUFFER_BYTES,
-            max_array_len=ITEMS_MOST,
+            max_array_len=MAX_ARRAY_ITEMS,
         )
 
     def feed(self, data: bytes) -> list[tuple[int, Message]]:
@@ -212,22 +216,22 @@
 
         Those before one that can't be read are returned too.
         """
-        found: list[tuple[int, Message]] = []
+        messages: list[tuple[int, Message]] = []
         if self.fault:
-            return found
+            return messages
         try:
             self._unpacker.feed(data)
             for row in self._unpacker:
                 if type(row) is not tuple or not row or type(row[0]) is not int:
                     raise ValueError("it does not begin with its kind")
-                shape = self._shapes.get(row[0])
-                if shape is None:
+                schema = self._schemas.get(row[0])
+                if schema is None:
                     continue
-                fields = as_tuple(shape.typed(row))
-                if shape.of_request:
-                    found.append((fields[1], shape.make(*fields[2:])))
+                fields = as_tuple(schema.validate(row))
+                if schema.has_stream_id:
+                    messages.append((fields[1], schema.build(*fields[2:])))
                 else:
-                    found.append((WHOLE_LINK, shape.make(*fields[1:])))
+                    messages.append((NO_STREAM, schema.build(*fields[1:])))
         except (ValueError, msgpack.UnpackException) as error:
             self.fault = str(error) or repr(error)
-        return found
+        return messages
--- a/azurestep/mesh/links/guarded.py
+++ b/azurestep/mesh/links/guarded.py
@@ -24,31 +24,31 @@
 
     def on_answer(self, answer: Answer) -> None:
         """Pass the answer on, or its beginning."""
-        self._tell(self.receiver.on_answer, answer)
+        self._notify(self.receiver.on_answer, answer)
 
     def on_answer_data(self, data: bytes, whole: bool) -> None:
         """Pass more of the answer on."""
-        self._tell(self.receiver.on_answer_data, data, whole)
+        self._notify(self.receiver.on_answer_data, data, whole)
 
     def on_refusal(self, refusal: Refusal) -> None:
         """Pass on that the request has not run."""
-        self._tell(self.receiver.on_refusal, refusal)
+        self._notify(self.receiver.on_refusal, refusal)
 
     def on_failure(self, failure: Failure) -> None:
         """Pass on that no whole answer comes."""
-        self._tell(self.receiver.on_failure, failure)
+        self._notify(self.receiver.on_failure, failure)
 
     def on_credit(self, size: int) -> None:
         """Pass on that bytes of the body were taken."""
-        self._tell(self.receiver.on_credit, size)
+        self._notify(self.receiver.on_credit, size)
 
     def on_slot_ready(self) -> None:
         """Pass on that there is a slot."""
-        self._tell(self.receiver.on_slot_ready)
+        self._notify(self.receiver.on_slot_ready)
 
-    def _tell(self, hear: Callable[..., None], *news: Any) -> None:
+    def _notify(self, notify: Callable[..., None], *arguments: Any) -> None:
         try:
-            hear(*news)
+            notify(*arguments)
         except Exception as error:
             self.runtime.report_fault("call", error, id=self.request_id)
             self.runtime.run_guarded("call", self.receiver.on_fault)
--- a/azurestep/mesh/links/incoming.py
+++ b/azurestep/mesh/links/incoming.py
@@ -32,16 +32,16 @@
     fields_of,
 )
 from ..runtime import Runtime
-from .decoding import OF_CALLING_NODES, WHOLE_LINK, Decoder, Message
+from .decoding import NO_STREAM, OF_CALLING_NODES, Decoder, Message
 from .outcome_forwarder import OutcomeForwarder
 
 PONG = encode(Kind.PONG)
-STALE_MS = 100.0
+LATE_AFTER_MS = 100.0
 """Delay beyond a link's usual one from which on a request counts as held up, so
 that it isn't run for longer than its caller waits."""
-FAILING_NEWS = 0.3
+URGENT_FAILURE_RATIO = 0.3
 """Failing share from which on nodes are told at once."""
-OFFSET_RISE = 0.01
+MIN_DELAY_GROWTH = 0.01
 """How fast the known least delay of a link rises again, so that a clock that
 stood still at one end doesn't make all later requests look late."""
 
@@ -72,8 +72,12 @@
     data_centre: str
     links: "set[IncomingLink]" = attrs.field(factory=set)
     _urgent: tuple[object, ...] = ()
-    _near: ReportPacer = attrs.field(factory=lambda: ReportPacer(LOCAL_REPORTS_PER_S))
-    _far: ReportPacer = attrs.field(factory=lambda: ReportPacer(REMOTE_REPORTS_PER_S))
+    _local_pacer: ReportPacer = attrs.field(
+        factory=lambda: ReportPacer(LOCAL_REPORTS_PER_S)
+    )
+    _remote_pacer: ReportPacer = attrs.field(
+        factory=lambda: ReportPacer(REMOTE_REPORTS_PER_S)
+    )
 
     @property
     def has_unsent_outcomes(self) -> bool:
@@ -82,26 +86,26 @@
         A process that ends drops what its send buffers hold: 24 of 40 answers behind a
         slow link came out as failures at the node that had asked.
         """
-        return any(server.owes_outcome for server in self.links)
+        return any(link.has_unsent_outcome for link in self.links)
 
     def broadcast_state(self) -> None:
         """Tell all nodes the state of this one: what matters at once, load in turn."""
         state = self.state()
         data = encode(Kind.STATE, *fields_of(state))
         now_ms = self.runtime.now_ms()
-        urgent = (self.store_version(), *_urgent(state))
+        urgent = (self.store_version(), *_urgent_fields(state))
         if urgent != self._urgent:
             self._urgent = urgent
-            self._near.mark_sent(data, now_ms)
-            self._far.mark_sent(data, now_ms)
+            self._local_pacer.mark_sent(data, now_ms)
+            self._remote_pacer.mark_sent(data, now_ms)
             self._write(self.links, data)
             return
-        near = {server for server in self.links if self._is_near(server)}
-        far = self.links - near
-        if self._near.is_due(data, len(near), now_ms):
-            self._write(near, data)
-        if self._far.is_due(data, len(far), now_ms):
-            self._write(far, data)
+        local = {link for link in self.links if self._is_local(link)}
+        remote = self.links - local
+        if self._local_pacer.is_due(data, len(local), now_ms):
+            self._write(local, data)
+        if self._remote_pacer.is_due(data, len(remote), now_ms):
+            self._write(remote, data)
 
     def push_configuration(self) -> None:
         """Send the configuration in force to the nodes of this data centre.
@@ -111,22 +115,22 @@
         """
         version, content = self.configuration()
         data = encode(Kind.CONFIGURATION, version, compress(content))
-        self._write({one for one in self.links if self._is_near(one)}, data)
+        self._write({link for link in self.links if self._is_local(link)}, data)
 
-    def _is_near(self, server: "IncomingLink") -> bool:
-        peer = server.peer
+    def _is_local(self, link: "IncomingLink") -> bool:
+        peer = link.peer
         return peer is not None and peer.data_centre == self.data_centre
 
     def _write(self, links: "set[IncomingLink]", data: bytes) -> None:
-        for server in links:
-            server.write(data)
+        for link in links:
+            link.write(data)
 
     def broadcast_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
         """Tell all nodes which requests were under way as a backend server died."""
         self._write(self.links, encode(Kind.CRASHES, service, encode_updates(updates)))
 
 
-def _urgent(state: State) -> tuple[object, ...]:
+def _urgent_fields(state: State) -> tuple[object, ...]:
     """Return what other nodes must not act on a moment longer once it changed.
 
     A version is news when it was read from the store. If all nodes told it at once,
@@ -140,7 +144,7 @@
         state.slots,
         state.store_reachable,
         state.stopping,
-        state.failure_ratio >= FAILING_NEWS,
+        state.failure_ratio >= URGENT_FAILURE_RATIO,
     )
 
 
@@ -152,9 +156,9 @@
         self.peer: Hello | None = None
         self._decoder = Decoder(OF_CALLING_NODES)
         self._transport: asyncio.Transport | None = None
-        self._has_told = False
+        self._has_written_outcome = False
         self._runs: dict[int, Run] = {}
-        self._least_delay_ms: float | None = None
+        self._min_delay_ms: float | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Greet the other node and tell it this one's state."""
@@ -172,9 +176,9 @@
         self.incoming_links.links.discard(self)
         runs, self._runs = self._runs, {}
         for run in runs.values():
-            self._cancel_lost(run)
+            self._cancel_run(run)
 
-    def _cancel_lost(self, run: Run) -> None:
+    def _cancel_run(self, run: Run) -> None:
         try:
             run.cancel()
         except Exception as error:
@@ -183,16 +187,16 @@
 
     def data_received(self, data: bytes) -> None:
         """Take messages."""
-        for stream, message in self._decoder.feed(data):
+        for stream_id, message in self._decoder.feed(data):
             try:
-                HANDLERS[type(message)](self, stream, message)
+                HANDLERS[type(message)](self, stream_id, message)
             except Exception as error:
-                self._contain(stream, message, error)
+                self._contain(stream_id, message, error)
         if self._decoder.fault:
             events.log(events.PEER_MALFORMED, cause=self._decoder.fault)
             self.abort()
 
-    def _contain(self, stream: int, message: Message, error: Exception) -> None:
+    def _contain(self, stream_id: int, message: Message, error: Exception) -> None:
         """Fail the request that met a fault of this program; the others go on.
 
         The run is cancelled, not failed: a failed one speaks against its backend
@@ -200,15 +204,15 @@
         this by.
         """
         runtime = self.incoming_links.runtime
-        run = self._runs.pop(stream, None)
+        run = self._runs.pop(stream_id, None)
         request = message if run is None else run.request
         name = request.request_id if isinstance(request, Request) else b""
         runtime.report_fault("link_in", error, id=name)
         if run is not None:
             runtime.run_guarded("run", run.cancel)
-        if stream != WHOLE_LINK:
+        if stream_id != NO_STREAM:
             in_flight = self.incoming_links.inbound.admission.in_flight
-            self.send(Kind.FAILURE, stream, int(Reason.FAULT), in_flight)
+            self.send(Kind.FAILURE, stream_id, int(Reason.FAULT), in_flight)
 
     def send(self, kind: Kind, *fields: object) -> None:
         """Send a message."""
@@ -220,97 +224,97 @@
             self._transport.write(data)
 
     @property
-    def owes_outcome(self) -> bool:
+    def has_unsent_outcome(self) -> bool:
         """Whether bytes have not left since the last outcome; news alone don't count.
 
         News for a node that is gone would keep a stopping one for its grace time.
         """
         transport = self._transport
         if transport is None or not transport.get_write_buffer_size():
-            self._has_told = False
-        return self._has_told
+            self._has_written_outcome = False
+        return self._has_written_outcome
 
-    def forget(self, stream: int) -> None:
+    def end_stream(self, stream_id: int) -> None:
         """Forget a request that ended; its outcome is written."""
-        self._has_told = True
-        self._runs.pop(stream, None)
+        self._has_written_outcome = True
+        self._runs.pop(stream_id, None)
 
     def abort(self) -> None:
         """Reset the link."""
         if self._transport is not None:
             self._transport.abort()
 
-    def _request(self, stream: int, request: Request) -> None:
-        late_ms = self._delay_ms(request.sent_ms)
-        if late_ms > STALE_MS:
+    def _on_request(self, stream_id: int, request: Request) -> None:
+        late_ms = self._update_delay_ms(request.sent_ms)
+        if late_ms > LATE_AFTER_MS:
             request = attrs.evolve(
                 request,
                 remaining_ms=request.remaining_ms - late_ms,
                 objective_ms=request.objective_ms - late_ms,
             )
-        receiver = OutcomeForwarder(self, stream)
+        receiver = OutcomeForwarder(self, stream_id)
         run = self.incoming_links.inbound.submit(request, receiver)
         if not run.done:
-            self._runs[stream] = run
+            self._runs[stream_id] = run
 
-    def _ping(self, _: int, ping: Ping) -> None:
-        self._delay_ms(ping.sent_ms)
+    def _on_ping(self, _: int, ping: Ping) -> None:
+        self._update_delay_ms(ping.sent_ms)
         self.write(PONG)
 
-    def _greet(self, _: int, hello: Hello) -> None:
+    def _on_hello(self, _: int, hello: Hello) -> None:
         self.peer = hello
         self.incoming_links.on_peer(hello)
 
-    def _tell_configuration(self, _: int, wanted: ConfigurationQuery) -> None:
+    def _on_configuration_query(self, _: int, wanted: ConfigurationQuery) -> None:
         version, content = self.incoming_links.configuration()
         self.send(Kind.CONFIGURATION, version, compress(content))
 
-    def _go(self, stream: int, _: Proceed) -> None:
-        run = self._runs.get(stream)
+    def _on_proceed(self, stream_id: int, _: Proceed) -> None:
+        run = self._runs.get(stream_id)
         if run is not None:
             run.proceed()
 
-    def _cancel(self, stream: int, _: Cancel) -> None:
-        run = self._runs.pop(stream, None)
+    def _on_cancel(self, stream_id: int, _: Cancel) -> None:
+        run = self._runs.pop(stream_id, None)
         if run is not None:
             run.cancel()
 
-    def _withdraw(self, stream: int, _: Withdraw) -> None:
-        run = self._runs.get(stream)
+    def _on_withdraw(self, stream_id: int, _: Withdraw) -> None:
+        run = self._runs.get(stream_id)
         if run is not None:
             run.withdraw()
 
-    def _grant(self, stream: int, credit: Credit) -> None:
-        run = self._runs.get(stream)
+    def _on_credit(self, stream_id: int, credit: Credit) -> None:
+        run = self._runs.get(stream_id)
         if run is not None:
             run.grant(credit.size)
 
-    def _body(self, stream: int, body: Body) -> None:
-        run = self._runs.get(stream)
+    def _on_body(self, stream_id: int, body: Body) -> None:
+        run = self._runs.get(stream_id)
         if run is not None:
             run.body(body.data, body.whole)
 
-    def _delay_ms(self, sent_ms: float) -> float:
+    def _update_delay_ms(self, sent_ms: float) -> float:
         delay_ms = self.incoming_links.runtime.now_ms() - sent_ms
-        least_ms = self._least_delay_ms
-        if least_ms is None or delay_ms < least_ms:
-            self._least_delay_ms = delay_ms
+        min_delay_ms = self._min_delay_ms
+        if min_delay_ms is None or delay_ms < min_delay_ms:
+            self._min_delay_ms = delay_ms
             return 0.0
-        late_ms = delay_ms - least_ms
-        self._least_delay_ms = least_ms + late_ms * OFFSET_RISE
+        late_ms = delay_ms - min_delay_ms
+        self._min_delay_ms = min_delay_ms + late_ms * MIN_DELAY_GROWTH
         return late_ms
 
 
 HANDLERS: dict[type, Callable[[IncomingLink, int, Any], None]] = {
-    Request: IncomingLink._request,
-    Ping: IncomingLink._ping,
-    Body: IncomingLink._body,
-    Cancel: IncomingLink._cancel,
-    Withdraw: IncomingLink._withdraw,
-    Proceed: IncomingLink._go,
-    Credit: IncomingLink._grant,
-    Hello: IncomingLink._greet,
-    ConfigurationQuery: IncomingLink._tell_configuration,
+    Request: IncomingLink._on_request,
+    Ping: IncomingLink._on_ping,
+    Body: IncomingLink._on_body,
+    Cancel: IncomingLink._on_cancel,
+    Withdraw: IncomingLink._on_withdraw,
+    Proceed: IncomingLink._on_proceed,
+    Credit: IncomingLink._on_credit,
+    Hello: IncomingLink._on_hello,
+    ConfigurationQuery: IncomingLink._on_configuration_query,
 }
 """What is done with a message, by its type: a table costs less than ``singledispatch``,
 and each request passes here several times."""
--- a/azurestep/mesh/links/interfaces.py
+++ b/azurestep/mesh/links/interfaces.py
@@ -46,7 +46,7 @@
         """End the request: a fault of this program came while it was handled."""
 
 
-class PeerNews(Protocol):
+class FleetListener(Protocol):
     """What hears of news that concern the whole fleet, whichever node tells them."""
 
     def on_configuration(self, version: int, content: bytes) -> None:
--- a/azurestep/mesh/links/link.py
+++ b/azurestep/mesh/links/link.py
@@ -11,8 +11,8 @@
 from ..messages import Hello, Kind, Request, State
 from ..runtime import Runtime
 from ..settings import Address
-from .connection import BUSY_PING_MS, PeerConnection
-from .interfaces import CallReceiver, PeerNews, Stream
+from .connection import BUSY_PROBE_INTERVAL_MS, PeerConnection
+from .interfaces import CallReceiver, FleetListener, Stream
 
 UNRESPONSIVE_AFTER_MS = 200.0
 """Time without an answer to a probe after which a node gets no new requests. An
@@ -22,12 +22,12 @@
 """Time without an answer to a probe after which a node counts as lost, with room for
 one that runs several times slower for a moment."""
 DIAL_TIMEOUT_S = 1.0
-REDIAL_MS = (50.0, 200.0, 500.0, 1000.0)
+REDIAL_PAUSES_MS = (50.0, 200.0, 500.0, 1000.0)
 """Pauses before the next attempts to reach a node; the last one repeats, so that a
 node that restarts while the store is away is found within about a second."""
 
 
-class LinkEvents(PeerNews, Protocol):
+class LinkListener(FleetListener, Protocol):
     """What hears of the nodes at the other ends of links."""
 
     def on_link_up(self, link: "PeerLink", hello: Hello) -> None:
@@ -56,7 +56,7 @@
 
     runtime: Runtime
     address: Address
-    news: LinkEvents
+    listener: LinkListener
     endpoint: Endpoint = attrs.field(init=False)
     connection: PeerConnection | None = None
     up: bool = False
@@ -73,15 +73,15 @@
         self.lost_since_ms = self.runtime.now_ms()
 
     @property
-    def fleet(self) -> PeerNews:
+    def fleet_listener(self) -> FleetListener:
         """What hears of news that concern the whole fleet."""
-        return self.news
+        return self.listener
 
     def send(self, request: Request, receiver: CallReceiver) -> Stream | None:
         """Send a request; None if the node can't be reached."""
         if self.connection is None or not self.up:
             return None
-        return self.connection.open(request, receiver)
+        return self.connection.open_stream(request, receiver)
 
     def tick(self, now_ms: float) -> None:
         """Probe the link, replace a silent connection, dial again."""
@@ -91,19 +91,21 @@
                 self._dialing = True
                 self.runtime.spawn(self._dial())
             return
-        waited_ms = now_ms - connection.pinged_ms
-        answered = connection.answered
+        waited_ms = now_ms - connection.last_probe_ms
+        answered = connection.probe_answered
         unresponsive = not answered and waited_ms > UNRESPONSIVE_AFTER_MS
         if unresponsive and not self.endpoint.unresponsive:
             self.endpoint.unresponsive = True
             connection.mark_unresponsive()
         self.endpoint.unresponsive = unresponsive
         if not answered and waited_ms > LOST_AFTER_MS:
-            self._lose(connection, "silent")
+            self._mark_lost(connection, "silent")
             connection.retire()
         elif answered:
             pause_ms = (
-                BUSY_PING_MS if connection.streams else self.idle_probe_interval_ms
+                BUSY_PROBE_INTERVAL_MS
+                if connection.streams
+                else self.idle_probe_interval_ms
             )
             if waited_ms >= pause_ms:
                 connection.ping()
@@ -111,10 +113,10 @@
     def discount_pause(self, pause_ms: float) -> None:
         """Leave out a pause of this node's own from the silence of the other."""
         if self.connection is not None:
-            self.connection.received_ms += pause_ms
-            self.connection.pinged_ms += pause_ms
+            self.connection.last_received_ms += pause_ms
+            self.connection.last_probe_ms += pause_ms
 
-    def ask_configuration(self) -> None:
+    def request_configuration(self) -> None:
         """Ask the node for the configuration that it holds."""
         if self.connection is not None:
             self.connection.send(Kind.CONFIGURATION_QUERY)
@@ -138,13 +140,13 @@
         if not self.up:
             self.up = True
             self.endpoint.data_centre = hello.data_centre
-            self.news.on_link_up(self, hello)
+            self.listener.on_link_up(self, hello)
 
     def on_state(self, connection: PeerConnection, state: State) -> None:
         """Take the other node's state."""
         if connection is not self.connection:
             return
-        former, self.state = self.state, state
+        previous, self.state = self.state, state
         endpoint = self.endpoint
         incarnation = Incarnation(state.instance_id, state.server_started_ms)
         if not endpoint.incarnation.matches(incarnation):
@@ -157,22 +159,22 @@
         endpoint.failure_ratio = state.failure_ratio
         endpoint.cold_until_ms = self.runtime.now_ms() + state.cold_remaining_ms
         endpoint.update_load(state.in_flight)
-        if former is None or _matters(former) != _matters(state):
-            self.news.on_state(self, state)
+        if previous is None or _reader_criteria(previous) != _reader_criteria(state):
+            self.listener.on_state(self, state)
 
     def on_connection_lost(self, connection: PeerConnection) -> None:
         """Dial again after a lost connection."""
         if connection is self.connection:
-            self._lose(connection, "closed")
+            self._mark_lost(connection, "closed")
 
-    def _lose(self, connection: PeerConnection, cause: str) -> None:
+    def _mark_lost(self, connection: PeerConnection, cause: str) -> None:
         self.connection = None
         self.endpoint.open = False
-        self._next_dial_ms = self.runtime.now_ms() + REDIAL_MS[0]
+        self._next_dial_ms = self.runtime.now_ms() + REDIAL_PAUSES_MS[0]
         if self.up:
             self.up = False
             self.lost_since_ms = self.runtime.now_ms()
-            self.news.on_link_down(self, cause)
+            self.listener.on_link_down(self, cause)
 
     async def _dial(self) -> None:
         try:
@@ -181,14 +183,16 @@
                     lambda: PeerConnection(self), *self.address
                 )
         except OSError:
-            pause = min(self._attempts, len(REDIAL_MS) - 1)
+            pause = min(self._attempts, len(REDIAL_PAUSES_MS) - 1)
             self._attempts += 1
             jitter = 0.75 + self.runtime.random.random() / 2
-            self._next_dial_ms = self.runtime.now_ms() + REDIAL_MS[pause] * jitter
+            self._next_dial_ms = (
+                self.runtime.now_ms() + REDIAL_PAUSES_MS[pause] * jitter
+            )
         finally:
             self._dialing = False
 
 
-def _matters(state: State) -> tuple[bool, bool]:
+def _reader_criteria(state: State) -> tuple[bool, bool]:
     """Return what decides who reads the configuration."""
     return state.store_reachable, state.stopping
--- a/azurestep/mesh/links/members.py
+++ b/azurestep/mesh/links/members.py
@@ -21,7 +21,7 @@
 from .interfaces import CallReceiver, Stream
 from .link import PeerLink
 
-FORGET_MS = 300_000.0
+EXPIRE_AFTER_MS = 300_000.0
 """Time without an answer after which a node is no longer dialled."""
 
 
@@ -31,11 +31,11 @@
 
     Attributes
     ----------
-    hello_now : Callable
+    make_hello : Callable
         Returns this node's greeting.
-    on_news : Callable
+    on_change : Callable
         Called when a node came, went or told a new state.
-    take_configuration : Callable
+    apply_configuration : Callable
         Called with a configuration that a node sent.
     """
 
@@ -43,15 +43,15 @@
     own_address: Address
     data_centre: str
     inbound: Inbound
-    hello_now: Callable[[], Hello]
-    on_news: Callable[[], None]
-    take_configuration: Callable[[int, bytes], None]
+    make_hello: Callable[[], Hello]
+    on_change: Callable[[], None]
+    apply_configuration: Callable[[int, bytes], None]
     links: dict[Address, PeerLink] = attrs.field(factory=dict)
-    _own: Endpoint = attrs.field(init=False)
+    _local: Endpoint = attrs.field(init=False)
     _count: int = 1
 
     def __attrs_post_init__(self) -> None:
-        self._own = Endpoint(
+        self._local = Endpoint(
             self.own_address, "", NO_INCARNATION, self.data_centre, open=False
         )
 
@@ -72,20 +72,20 @@
             for link in self.links.values()
             if link.endpoint.service == service and link.up
         ]
-        own = self._refreshed()
-        if own.service == service:
-            found.append(own)
+        local = self._refresh_local()
+        if local.service == service:
+            found.append(local)
         return found
 
-    def is_own(self, endpoint: Endpoint) -> bool:
+    def is_local(self, endpoint: Endpoint) -> bool:
         """Whether a backend server is the one beside this node."""
-        return endpoint is self._own
+        return endpoint is self._local
 
     def send(
         self, endpoint: Endpoint, request: Request, receiver: CallReceiver
     ) -> Stream | None:
         """Send a request to the node beside a backend server."""
-        if endpoint is self._own:
+        if endpoint is self._local:
             if request.needs_confirmation:
                 request = attrs.evolve(request, needs_confirmation=False)
             guarded = GuardedReceiver(self.runtime, receiver, request.request_id)
@@ -105,7 +105,7 @@
         """Look after all links."""
         pause_ms = idle_probe_interval_ms(len(self.links))
         for link in list(self.links.values()):
-            if not link.up and now_ms - link.lost_since_ms > FORGET_MS:
+            if not link.up and now_ms - link.lost_since_ms > EXPIRE_AFTER_MS:
                 link.close()
                 del self.links[link.address]
                 continue
@@ -125,7 +125,7 @@
 
     def hello(self) -> Hello:
         """Return this node's greeting."""
-        return self.hello_now()
+        return self.make_hello()
 
     def on_link_up(self, link: PeerLink, hello: Hello) -> None:
         """Log that a node answers."""
@@ -134,36 +134,36 @@
             peer=link.address[0],
             version=hello.configuration_version,
         )
-        self.on_news()
+        self.on_change()
 
     def on_link_down(self, link: PeerLink, cause: str) -> None:
         """Log that a node does not answer."""
         events.log(events.PEER_LOST, peer=link.address[0], cause=cause)
-        self.on_news()
+        self.on_change()
 
     def on_state(self, link: PeerLink, state: State) -> None:
         """Pass news of a node on."""
-        self.on_news()
+        self.on_change()
 
     def on_configuration(self, version: int, content: bytes) -> None:
         """Pass a configuration on."""
-        self.take_configuration(version, content)
+        self.apply_configuration(version, content)
 
     def on_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
         """Take in which requests were under way as backend servers died."""
         self.inbound.crashes.merge(service, updates, self.runtime.now_ms())
 
-    def _refreshed(self) -> Endpoint:
-        own, inbound = self._own, self.inbound
+    def _refresh_local(self) -> Endpoint:
+        local, inbound = self._local, self.inbound
         backend = inbound.backend
-        own.service = backend.service
-        own.incarnation = backend.incarnation
-        own.open = inbound.open
-        own.slots = backend.slots
-        own.failure_ratio = inbound.health.failure_ratio
-        own.in_flight = inbound.admission.in_flight
-        own.own_in_flight_at_report = own.own_in_flight
-        own.cold_until_ms = self.runtime.now_ms() + backend.cold_remaining_ms(
+        local.service = backend.service
+        local.incarnation = backend.incarnation
+        local.open = inbound.open
+        local.slots = backend.slots
+        local.failure_ratio = inbound.health.failure_ratio
+        local.in_flight = inbound.admission.in_flight
+        local.own_in_flight_at_report = local.own_in_flight
+        local.cold_until_ms = self.runtime.now_ms() + backend.cold_remaining_ms(
             self.runtime.now_ms()
         )
-        return own
+        return local
--- a/azurestep/mesh/links/outcome_forwarder.py
+++ b/azurestep/mesh/links/outcome_forwarder.py
@@ -7,13 +7,13 @@
 from ..messages import Answer, Failure, Kind, Refusal, fields_of
 
 
-class OutcomeSender(Protocol):
+class OutcomeLink(Protocol):
     """The link over which outcomes go back."""
 
     def send(self, kind: Kind, *fields: object) -> None:
         """Send a message."""
 
-    def forget(self, stream: int) -> None:
+    def end_stream(self, stream_id: int) -> None:
         """Forget a request that ended."""
 
 
@@ -21,35 +21,35 @@
 class OutcomeForwarder:
     """Sends the outcome of one request back over the link."""
 
-    server: OutcomeSender
-    stream: int
+    link: OutcomeLink
+    stream_id: int
 
     def on_answer(self, answer: Answer) -> None:
         """Send the answer, or its beginning."""
-        self.server.send(Kind.ANSWER, self.stream, *fields_of(answer))
+        self.link.send(Kind.ANSWER, self.stream_id, *fields_of(answer))
         if answer.whole:
-            self.server.forget(self.stream)
+            self.link.end_stream(self.stream_id)
 
     def on_answer_data(self, data: bytes, whole: bool) -> None:
         """Send more of the answer."""
-        self.server.send(Kind.ANSWER_DATA, self.stream, data, whole)
+        self.link.send(Kind.ANSWER_DATA, self.stream_id, data, whole)
         if whole:
-            self.server.forget(self.stream)
+            self.link.end_stream(self.stream_id)
 
     def on_refusal(self, refusal: Refusal) -> None:
         """Send a refusal."""
-        self.server.send(Kind.REFUSAL, self.stream, *fields_of(refusal))
-        self.server.forget(self.stream)
+        self.link.send(Kind.REFUSAL, self.stream_id, *fields_of(refusal))
+        self.link.end_stream(self.stream_id)
 
     def on_failure(self, failure: Failure) -> None:
         """Send a failure."""
-        self.server.send(Kind.FAILURE, self.stream, *fields_of(failure))
-        self.server.forget(self.stream)
+        self.link.send(Kind.FAILURE, self.stream_id, *fields_of(failure))
+        self.link.end_stream(self.stream_id)
 
     def on_credit(self, size: int) -> None:
         """Let the sender send more of the body."""
-        self.server.send(Kind.CREDIT, self.stream, size)
+        self.link.send(Kind.CREDIT, self.stream_id, size)
 
     def on_slot_ready(self) -> None:
         """Ask the sender whether the request still stands."""
-        self.server.send(Kind.SLOT_READY, self.stream)
+        self.link.send(Kind.SLOT_READY, self.stream_id)
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -89,7 +89,7 @@
     monkeypatch.setattr(IncomingLinks, "_write", counting)
     incoming_links = mesh.instances[0].node.incoming_links
     configuration = mesh.instances[0].node.configuration
-    far = {one for one in incoming_links.links if not incoming_links._is_near(one)}
+    far = {one for one in incoming_links.links if not incoming_links._is_local(one)}
     incoming_links.broadcast_state()
     reports.clear()
     configuration.apply_if_newer(document(40), SOURCE_PEER)
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -97,7 +97,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch, called: bool) -> None:
         self.handled: list[Any] = []
         self.runtime = Runtime(None)  # type: ignore[arg-type]
-        self.fleet = self
+        self.fleet_listener = self
         self.inbound = None
         self.connection = None
         self.called = called
@@ -233,7 +233,7 @@
 def test_a_greeting_of_a_newer_program_may_have_more_fields() -> None:
     decoder = Decoder(OF_CALLED_NODES)
     (found,) = decoder.feed(encode(Kind.HELLO, *fields_of(HELLO), "more"))
-    assert found == (decoding.WHOLE_LINK, HELLO)
+    assert found == (decoding.NO_STREAM, HELLO)
 
 
 def test_another_format_can_not_be_read() -> None:
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -1531,11 +1531,11 @@
     )
 
     def act() -> None:
-        record.log_end(200, 300.0)
+        record.log_answered(200, 300.0)
         record.log_refused(503, mesh.Reason(4), 300.0)
         record.log_failed(502, mesh.Reason(14), 900.0)
         record.log_retried(0, mesh.Reason(7), 300.0)
-        record.log_gone(300.0)
+        record.log_disconnected(300.0)
 
     check("attempt_lines", written(act))
 
