--- a/azurestep/mesh/callers/__init__.py
+++ b/azurestep/mesh/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of callers: match a route, choose a backend server, answer."""
+"""Handling of callers' requests: routing, choice of a backend server, answers."""
--- a/azurestep/mesh/callers/answer_writer.py
+++ b/azurestep/mesh/callers/answer_writer.py
@@ -1,4 +1,4 @@
-"""Passing a backend server's answer on to the caller."""
+"""Writing of a backend server's answer to the caller."""
 
 from ...http.server import Exchange
 from ..messages import Answer
@@ -7,12 +7,12 @@
 
 
 class AnswerWriter:
-    """Writes one answer to a caller's connection, whole or in pieces.
+    """Writes one answer to a caller's connection, complete or streamed.
 
     Attributes
     ----------
     started : bool
-        Whether the caller got a part of the answer, so that no other can follow.
+        Whether a part of the answer was sent, so that it can't be replaced.
     """
 
     def __init__(self, exchange: Exchange) -> None:
@@ -22,11 +22,11 @@
         self._pending_credit = 0
 
     def write_whole(self, answer: Answer) -> None:
-        """Write an answer that came whole."""
+        """Write a complete answer."""
         self._exchange.answer(answer.status, answer.headers, answer.body)
 
     def start(self, answer: Answer) -> None:
-        """Write the head and the first bytes of a long answer."""
+        """Write the head and the first bytes of a streamed answer."""
         self.started = True
         self._chunked = answer.length < 0
         length = None if self._chunked else answer.length
@@ -34,23 +34,23 @@
         self.write_data(answer.body)
 
     def write_data(self, data: bytes) -> None:
-        """Write more of a long answer."""
+        """Write more of a streamed answer."""
         if data:
             self._pending_credit += len(data)
             self._exchange.write(self._encode_chunk(data))
 
     def finish(self) -> None:
-        """End a long answer."""
+        """End a streamed answer."""
         if self._chunked:
             self._exchange.write(LAST_CHUNK)
         self._exchange.finish()
 
     def reset(self) -> None:
-        """End a long answer so that it can't look complete."""
+        """Reset the connection, so that a partial answer can't look complete."""
         self._exchange.reset()
 
     def take_credit(self) -> int:
-        """Return how many more bytes the sender may send, once for each of them."""
+        """Return the credit for the sender: the bytes written since the last call."""
         if not self._exchange.writable:
             return 0
         credit, self._pending_credit = self._pending_credit, 0
--- a/azurestep/mesh/callers/body.py
+++ b/azurestep/mesh/callers/body.py
@@ -1,31 +1,29 @@
-"""The body of a caller's request: kept while it is short, passed on when it is long."""
+"""The body of a caller's request: buffered while short, streamed when long."""
 
 import attrs
 
 from ..backend.run import FLOW_WINDOW_BYTES
 
 MAX_BUFFERED_BODY_BYTES = 524_288
-"""Bodies up to this size are read whole before they are sent, so that a request
-that was refused can be sent to another backend server; longer ones are streamed."""
+"""Bodies up to this size are buffered, so that a refused request can be sent to
+another backend server; longer ones are streamed."""
 LARGE_BODY_BYTES = 16_384
-"""Bodies above this size wait for a slot beside the backend server before they are
-sent. Sent along with the request, uploads of 60 KB that were refused or doubted were
-sent again elsewhere until links of 10 Mbit/s kept probes waiting for over 650 ms and
-nodes lost sight of one another."""
+"""Bodies above this size are sent only once the request has a slot, so that retries
+of refused uploads don't fill narrow links and delay probes."""
 
 
 @attrs.define(slots=True, eq=False)
 class RequestBody:
-    """What was read of a body so far.
+    """The part of a body that was read so far.
 
     Attributes
     ----------
     size_bytes : int
-        What was read while it was kept.
+        Bytes that were buffered.
     whole : bool
-        Whether all of it was read.
+        Whether the body was read to its end.
     streamed : bool
-        Whether it is passed on piece by piece, so that it can't be sent twice.
+        Whether it is passed on as it is read, so that it can't be sent again.
     """
 
     size_bytes: int = 0
@@ -35,29 +33,29 @@
     _unacknowledged_bytes: int = 0
 
     def append(self, data: bytes) -> None:
-        """Keep a piece."""
+        """Buffer a piece of the body."""
         self._parts.append(data)
         self.size_bytes += len(data)
 
     def content(self) -> bytes:
-        """Return what was kept."""
+        """Return the buffered bytes."""
         return b"".join(self._parts)
 
     def clear(self) -> None:
-        """Free what was kept."""
+        """Free the buffer."""
         self._parts = []
 
     @property
     def is_deferred(self) -> bool:
-        """Whether it is sent only once there is a slot for the request."""
+        """Whether the body is sent only once the request has a slot."""
         return self.size_bytes > LARGE_BODY_BYTES and not self.streamed
 
     def record_sent(self, data: bytes) -> bool:
-        """Count a piece that was passed on; return whether the window is full."""
+        """Count bytes that were sent; return whether the flow window is full."""
         self._unacknowledged_bytes += len(data)
         return self._unacknowledged_bytes > FLOW_WINDOW_BYTES
 
     def record_acknowledged(self, size_bytes: int) -> bool:
-        """Take in that bytes arrived; return whether the window has room again."""
+        """Count bytes that were received; return whether the window has room again."""
         self._unacknowledged_bytes -= size_bytes
         return self._unacknowledged_bytes <= FLOW_WINDOW_BYTES
--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -1,4 +1,4 @@
-"""One attempt of a caller: choose, send, try elsewhere, answer."""
+"""One attempt of a caller: choice of a backend server, retries and the answer."""
 
 from ...http.server import Exchange
 from ...platform.headers import CallerFields
@@ -20,16 +20,14 @@
 from .record import FIRST_FAILURE_STATUS, CallRecord
 
 MAX_NODES_ASKED = 4
-"""Most nodes that are asked for one request before its caller is refused."""
+"""Nodes that one request is sent to at most, before it is refused."""
 WITHDRAWAL_TIMEOUT_MS = 50.0
-"""Longest wait at the deadline for the word whether a request ran: ten times the round
-trip between data centres that was measured (3 ms), and a fifth of the time by which an
-answer past its timeout counts as held."""
+"""Longest wait past the deadline for a peer's reply whether the request has run."""
 SERVER_ERROR = 500
 
 
 class Call:
-    """One attempt of a caller, until it is answered."""
+    """One attempt of a caller, from its head to its answer."""
 
     def __init__(
         self,
@@ -71,10 +69,10 @@
         )
         context.calls_in_flight.add(self)
 
-    # From the caller's connection.
+    # Events of the caller's connection.
 
     def on_body(self, data: bytes) -> None:
-        """Keep the body, or pass it on if it is long."""
+        """Buffer the body, or stream it if it is long."""
         if self.done:
             return
         if self._body.streamed:
@@ -89,7 +87,7 @@
             self._dispatch()
 
     def on_end(self) -> None:
-        """Send the request, or the end of its body."""
+        """Send the buffered request, or the end of a streamed body."""
         if self.done:
             return
         self._body.whole = True
@@ -99,17 +97,17 @@
             self._dispatch()
 
     def on_disconnect(self) -> None:
-        """Stop the request; its caller left."""
+        """Cancel the request, since its caller has disconnected."""
         if self.done:
             return
         self._close(cancel=True)
         self._outcome.report_disconnect()
 
     def on_writable(self) -> None:
-        """Grant the other end more bytes of the answer."""
+        """Grant the sender of the answer more bytes."""
         self._grant_credit()
 
-    # To a backend server.
+    # Dispatch to a backend server.
 
     def _dispatch(self) -> None:
         context = self.context
@@ -144,15 +142,15 @@
             self.exchange.connection.pause_reading()
         self._stream.body(data, whole)
 
-    # From the node beside the backend server.
+    # Events of the node beside the backend server.
 
     def on_credit(self, size: int) -> None:
-        """Take more of the caller's body."""
+        """Resume reading the caller's body once the window has room."""
         if self._body.record_acknowledged(size):
             self.exchange.connection.resume_reading()
 
     def on_slot_ready(self) -> None:
-        """Send a long body, which was kept until there was a slot for it."""
+        """Send a body that was held back until the request had a slot."""
         endpoint = self._selector.endpoint
         if self._stream is None or endpoint is None:
             return
@@ -160,7 +158,7 @@
             self._stream.body(self._body.content(), True)
 
     def on_unresponsive(self, confirmed: bool) -> None:
-        """Go elsewhere, if that is safe and there is another way."""
+        """Retry elsewhere, if that is safe and another backend server is available."""
         endpoint = self._selector.endpoint
         if self.done or self._writer.started or self._body.streamed or endpoint is None:
             return
@@ -190,7 +188,7 @@
         return False
 
     def on_earlier_answer(self, earlier: EarlierRun, answer: Answer) -> None:
-        """Take the answer of the first run, unless another one is on its way out."""
+        """Use the answer of the earlier run, unless another one was already chosen."""
         if self.done or earlier is not self._earlier_run:
             earlier.cancel()
             return
@@ -206,7 +204,7 @@
         self.on_answer(answer)
 
     def on_earlier_lost(self, earlier: EarlierRun, may_have_run: bool) -> None:
-        """Wait for the second run alone."""
+        """Wait for the later run only."""
         if earlier is not self._earlier_run:
             return
         self._earlier_run = None
@@ -214,12 +212,12 @@
             self._uncount_unconfirmed_run()
 
     def _uncount_unconfirmed_run(self) -> None:
-        """Count a run no longer that was counted on a doubt: it is known, or waited."""
+        """Uncount a run that was counted when its peer became unresponsive."""
         self.record.runs -= 1
         self._unconfirmed_runs -= 1
 
     def _resume_earlier_run(self) -> bool:
-        """Wait for the first run alone, if it goes on behind its link."""
+        """Wait for the earlier run only, if it is still active."""
         earlier, self._earlier_run = self._earlier_run, None
         if earlier is None:
             return False
@@ -236,7 +234,7 @@
             earlier.cancel()
 
     def on_refusal(self, refusal: Refusal) -> None:
-        """Ask another node: the request has not run."""
+        """Retry elsewhere; the request has not run."""
         if self.done:
             return
         if self._withdrawn:
@@ -265,7 +263,7 @@
             self._refuse(reason, refusal.retry_after_ms)
 
     def on_failure(self, failure: Failure) -> None:
-        """Run an idempotent request elsewhere; fail another one: it may have run."""
+        """Retry an idempotent request elsewhere; fail any other, as it may have run."""
         if self.done:
             return
         if self._withdrawn:
@@ -289,7 +287,7 @@
             self._fail(reason)
 
     def on_answer(self, answer: Answer) -> None:
-        """Answer the caller, or run an idempotent request elsewhere."""
+        """Answer the caller, or retry an idempotent request that got an error."""
         if self.done:
             return
         endpoint = self._selector.endpoint
@@ -308,7 +306,7 @@
         self._send_answer(answer)
 
     def _replace_error(self, answer: Answer, endpoint: Endpoint | None) -> bool:
-        """Whether another run may answer in place of an error, and is waited for."""
+        """Let another run answer in place of an error; return whether one may."""
         runs_again = self._may_run_again()
         if not runs_again and self._earlier_run is None:
             return False
@@ -323,10 +321,9 @@
         return True
 
     def _keep_fallback_answer(self, answer: Answer) -> None:
-        """Keep an error for the case that nothing better comes, if it is short.
+        """Keep a complete error answer for the case that all retries fail.
 
-        The rest of a long one is not wanted. It was passed on where the head of the
-        next server's answer was due.
+        A streamed one is cancelled, so that its rest can't mix with the next answer.
         """
         if answer.whole:
             self._fallback_answer = self._fallback_answer or answer
@@ -335,12 +332,12 @@
             stream.cancel()
 
     def _is_retriable_error(self, answer: Answer) -> bool:
-        """Whether an answer is one that another backend server may better."""
+        """Whether an answer is an error that justifies a retry."""
         failed = answer.status >= SERVER_ERROR and answer.status != GATEWAY_TIMEOUT
         return failed and self.route.idempotent
 
     def on_answer_data(self, data: bytes, whole: bool) -> None:
-        """Pass on more of a long answer."""
+        """Pass on more of a streamed answer."""
         if self.done:
             return
         self._writer.write_data(data)
@@ -370,7 +367,7 @@
         if credit:
             self._stream.grant(credit)
 
-    # Ends.
+    # Completion.
 
     def _may_run_again(self) -> bool:
         now_ms = self._now_ms()
@@ -408,7 +405,7 @@
         self._outcome.report_failed(reason)
 
     def limit_deadline(self, drain_deadline_ms: float) -> None:
-        """Answer by then: this node is stopping."""
+        """Shorten the deadline, since the node is shutting down."""
         if not self._withdrawn:
             self._deadline.limit_deadline(drain_deadline_ms)
 
@@ -421,10 +418,10 @@
             self.on_fault()
 
     def _on_timeout(self) -> None:
-        """Answer at the deadline; where the request has not run, say so.
+        """Answer at the deadline: 503 if the request has not run, 504 if it may have.
 
-        The node that it was sent to is asked whether it ran. An answer that crosses
-        the question is delivered.
+        A peer that the request was sent to is asked first to withdraw it. An answer
+        that arrives meanwhile is delivered.
         """
         if self.done:
             return
@@ -444,14 +441,14 @@
         return self._withdrawn or self._writer.started
 
     def _refuse_at_deadline(self) -> None:
-        """Answer at the deadline that the request has not run, if it has not."""
+        """Refuse the request at its deadline, or time out if it may have run."""
         if self._unconfirmed_runs:
             self._time_out()
         else:
             self._refuse(self._deadline_reason(Reason.TOO_LATE), MIN_RETRY_AFTER_MS)
 
     def _deadline_reason(self, reason: Reason) -> Reason:
-        """Return the reason at the deadline, or that this node's stop set it."""
+        """Return the reason, or STOPPING if the node's shutdown set the deadline."""
         return Reason.STOPPING if self._deadline.set_by_shutdown else reason
 
     def _time_out(self) -> None:
@@ -461,11 +458,11 @@
         )
 
     def log_aborted(self) -> None:
-        """Log that the node ends before the answer; its connection ends with it."""
+        """Log that the node exits before the request is answered."""
         self._outcome.log_aborted()
 
     def on_fault(self) -> None:
-        """Answer 502 after a fault of this program: the request may have run."""
+        """Answer 502 after an internal error; the request may have run."""
         if self.exchange.finished:
             return
         self.context.runtime.run_guarded("call", self._close, True)
--- a/azurestep/mesh/callers/context.py
+++ b/azurestep/mesh/callers/context.py
@@ -1,4 +1,4 @@
-"""What the attempts of all callers of a node share, and where one of them goes."""
+"""State that all calls of a node share, and the target of one call."""
 
 import math
 from typing import Protocol
@@ -19,27 +19,27 @@
 
 
 class ActiveCall(Protocol):
-    """An attempt that is not answered yet."""
+    """A call that is not answered yet."""
 
     def limit_deadline(self, drain_deadline_ms: float) -> None:
-        """Answer by then: the node is stopping."""
+        """Shorten the deadline, since the node is shutting down."""
 
     def log_aborted(self) -> None:
-        """Log that the node ends before the answer."""
+        """Log that the node exits before the request is answered."""
 
 
 @attrs.define(eq=False)
 class CallContext:
-    """What the calls of a node share.
+    """State that all calls of a node share.
 
     Attributes
     ----------
     calling_service : str
-        Service of this instance, which backend servers are told.
+        Service of this instance, sent to backend servers in a header.
     calls_in_flight : set of ActiveCall
-        Attempts that are not answered yet.
+        Calls that are not answered yet.
     drain_deadline_ms : float
-        When the last of them is answered; a time only once the node is stopping.
+        When the last call must be answered; infinite until the node shuts down.
     """
 
     runtime: Runtime
@@ -55,13 +55,13 @@
     drain_deadline_ms: float = math.inf
 
     def limit_deadline(self, drain_deadline_ms: float) -> None:
-        """Answer all attempts by then, those that come later too."""
+        """Shorten the deadlines of all calls, present and future."""
         self.drain_deadline_ms = drain_deadline_ms
         for call in list(self.calls_in_flight):
             call.limit_deadline(drain_deadline_ms)
 
     def identify_attempt(self, exchange: Exchange, caller: CallerFields) -> Attempt:
-        """Return what a request that has just come is an attempt of."""
+        """Return the attempt that a new request is, matched to earlier ones."""
         now_ms = self.runtime.now_ms()
         request_key = (exchange.method, caller.host, exchange.target)
         if caller.remaining_ms is None:
@@ -75,7 +75,7 @@
         )
 
     def record_offered(self, route: Route, service: str) -> None:
-        """Count a request for a service."""
+        """Count a request for a service, for load reports and the retry budget."""
         self.refusals.record_offered(route.name, service, route.priority)
         self.retry_budget.members = self.members.count()
         self.retry_budget.earn(service)
@@ -83,7 +83,7 @@
 
 @attrs.frozen(slots=True)
 class Target:
-    """Where a configuration sends a request."""
+    """Route and service that the configuration chose for a request."""
 
     route: Route
     service: str
--- a/azurestep/mesh/callers/deadline.py
+++ b/azurestep/mesh/callers/deadline.py
@@ -1,4 +1,4 @@
-"""When an attempt is answered at the latest, and the timer for it."""
+"""The deadline of a call, with its timer."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,23 +7,23 @@
 
 
 class Deadline:
-    """The time of an attempt's last answer.
+    """The time by which a call must be answered.
 
     Parameters
     ----------
     runtime : Runtime
         Event loop and clock.
     caller_deadline_ms : float
-        Until when its caller waits, and the operators let it.
+        The caller's deadline or the route's timeout, whichever is earlier.
     drain_deadline_ms : float
-        When a stopping node answers; infinite while it is not stopping.
+        When a node that shuts down must have answered; infinite otherwise.
     on_expiry : Callable
-        Called when the time is over.
+        Called at the deadline.
 
     Attributes
     ----------
     deadline_ms : float
-        The earlier of both times.
+        The earlier of both.
     """
 
     def __init__(
@@ -41,33 +41,29 @@
 
     @property
     def set_by_shutdown(self) -> bool:
-        """Whether the stop of this node ends the attempt before its caller would."""
+        """Whether the node's shutdown ends the call before the caller's deadline."""
         return self.deadline_ms < self._caller_deadline_ms
 
     def limit_deadline(self, drain_deadline_ms: float) -> None:
-        """Answer by then: this node is stopping.
-
-        Without it, a node ended under requests that waited elsewhere for longer than it
-        lived: eight of eight callers with requests of 8.5 s lost their connection.
-        """
+        """Shorten the deadline, so that the call is answered before the node exits."""
         if drain_deadline_ms < self.deadline_ms:
             self.deadline_ms = drain_deadline_ms
             self.cancel()
             self._timer = self._schedule_at(drain_deadline_ms)
 
     def extend_to_caller_deadline(self) -> bool:
-        """Go on to the caller's own deadline, if the stop's came before it."""
+        """Restart the timer for the caller's deadline, unless that has passed."""
         if self._runtime.now_ms() >= self._caller_deadline_ms:
             return False
         self._timer = self._schedule_at(self._caller_deadline_ms)
         return True
 
     def extend(self, wait_ms: float) -> None:
-        """Call again after a short wait."""
+        """Restart the timer for a short wait."""
         self._timer = self._schedule_at(self._runtime.now_ms() + wait_ms)
 
     def cancel(self) -> None:
-        """Call no more."""
+        """Stop the timer."""
         self._timer.cancel()
 
     def _schedule_at(self, time_ms: float) -> asyncio.TimerHandle:
--- a/azurestep/mesh/callers/former_run.py
+++ b/azurestep/mesh/callers/former_run.py
@@ -1,7 +1,7 @@
-"""A run that goes on behind a doubtful link while its request is sent elsewhere.
+"""A run at an unresponsive peer that continues while its request is retried elsewhere.
 
-Cancelled on the doubt, such a run was lost also where its node was alive and merely
-slow: a read that had run for 204 ms ended as 502, since the other servers had no room.
+Its answer still counts if it arrives first: the peer may merely be slow, and the other
+backend servers may have no capacity.
 """
 
 from typing import Protocol
@@ -14,25 +14,25 @@
 
 
 class EarlierRunOwner(Protocol):
-    """The attempt that the run belongs to."""
+    """The call that the run belongs to."""
 
     def on_earlier_answer(self, run: "EarlierRun", answer: Answer) -> None:
-        """Take the answer, or its head and first bytes."""
+        """Handle the answer, or its head and first bytes."""
 
     def on_earlier_lost(self, run: "EarlierRun", may_have_run: bool) -> None:
-        """Learn that no answer comes of it, and whether it may have run."""
+        """Handle the end of the run without an answer."""
 
 
 @attrs.define(eq=False)
 class EarlierRun:
-    """Hears of the outcome of a run that its attempt does not wait for alone.
+    """Receives the outcome of a run that competes with a later one.
 
     Attributes
     ----------
     stream : Stream
-        The hold on the run.
+        Handle of the run.
     endpoint : Endpoint
-        The backend server that it is at.
+        Backend server that it was sent to.
     """
 
     owner: EarlierRunOwner
@@ -40,33 +40,33 @@
     endpoint: Endpoint
 
     def cancel(self) -> None:
-        """Stop the run; another answer was there first, or the caller left."""
+        """Cancel the run; its answer isn't needed any more."""
         self.stream.cancel()
 
     def on_answer(self, answer: Answer) -> None:
-        """Offer the answer."""
+        """Pass the answer to the call."""
         self.owner.on_earlier_answer(self, answer)
 
     def on_answer_data(self, data: bytes, whole: bool) -> None:
-        """Ignore; what follows the head goes to the attempt itself."""
+        """Ignore; after the head, the call itself is the receiver."""
 
     def on_refusal(self, refusal: Refusal) -> None:
-        """Tell that it did not run after all."""
+        """Report the end of the run; a refused one may only have reached the server."""
         self.owner.on_earlier_lost(self, may_have_run=refusal.reached_backend)
 
     def on_failure(self, failure: Failure) -> None:
-        """Tell that it failed."""
+        """Report the end of the run, which may have run."""
         self.owner.on_earlier_lost(self, may_have_run=True)
 
     def on_credit(self, size: int) -> None:
-        """Ignore; its body was whole when it was sent."""
+        """Ignore; the body was sent with the request."""
 
     def on_slot_ready(self) -> None:
-        """Ignore; it was let go long ago."""
+        """Ignore; the request was confirmed before."""
 
     def on_unresponsive(self, confirmed: bool) -> None:
-        """Ignore; its request has moved already."""
+        """Ignore; the request was retried already."""
 
     def on_fault(self) -> None:
-        """Tell that a fault of this program ended it."""
+        """Report that an internal error ended the run, which may have run."""
         self.owner.on_earlier_lost(self, may_have_run=True)
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -1,4 +1,4 @@
-"""Requests of callers: match a route, shed, or hand over to a call."""
+"""Entry of callers' requests: route matching and load shedding."""
 
 from collections.abc import Callable
 
@@ -17,22 +17,22 @@
 from .own_answers import NO_BACKEND_RETRY_AFTER_MS, answer_refused, id_header
 
 SHED_RETRY_AFTER_MS = 120.0
-"""Time to come back after a refusal for another service's sake: short enough that
-an answer to the second attempt is within its objective."""
+"""Time after which to retry a shed request; short enough for the retry to meet the
+route's objective."""
 NOT_FOUND = 404
 BAD_REQUEST = 400
 
 
 @attrs.define(eq=False)
 class Outbound:
-    """All requests of this instance's callers.
+    """Handles all requests of this instance's callers.
 
     Attributes
     ----------
     table : Callable
         Returns the configuration in force, or None.
     closed : bool
-        Whether new requests are refused, since the node ends.
+        Whether new requests are refused, because the node is about to exit.
     """
 
     context: CallContext
@@ -41,7 +41,7 @@
     load_shedder: LoadShedder = attrs.field(factory=LoadShedder)
 
     def handle(self, exchange: Exchange) -> None:
-        """Take a request whose head was read."""
+        """Route a request whose head was read, or reject it."""
         context = self.context
         table = self.table()
         caller = read_caller(exchange.headers)
@@ -80,14 +80,14 @@
 
 @attrs.define(eq=False)
 class Rejection:
-    """Answers a request that goes to no backend server, once it is read.
+    """Answers a request that is sent to no backend server, once it was read.
 
     Attributes
     ----------
     status : int
-        Of the answer.
+        Status of the answer.
     route : str
-        Route of the request; empty where none matched.
+        Name of the matched route; empty for none.
     """
 
     runtime: Runtime
@@ -98,10 +98,10 @@
     route: str = ""
 
     def on_body(self, data: bytes) -> None:
-        """Drop the body."""
+        """Ignore the body."""
 
     def on_end(self) -> None:
-        """Answer."""
+        """Log, count and answer the request."""
         events.log(
             events.CALL_REFUSED,
             id=self.request_id,
@@ -119,10 +119,10 @@
             self.exchange.answer(self.status, headers, b"")
 
     def on_disconnect(self) -> None:
-        """Forget the request."""
+        """Ignore; nothing was started."""
 
     def on_writable(self) -> None:
         """Ignore; the answer is short."""
 
     def on_fault(self) -> None:
-        """Leave the answer to the connection."""
+        """Ignore; the connection answers."""
--- a/azurestep/mesh/callers/outgoing.py
+++ b/azurestep/mesh/callers/outgoing.py
@@ -1,4 +1,4 @@
-"""What an attempt asks of a backend server, and the request that goes there."""
+"""Building of the requests that a call sends to backend servers."""
 
 import attrs
 
@@ -13,7 +13,7 @@
 
 @attrs.define(slots=True, eq=False)
 class RequestBuilder:
-    """Makes the requests of one attempt, one for each backend server asked."""
+    """Builds the requests of one call, one for each backend server it is sent to."""
 
     context: CallContext
     exchange: Exchange
@@ -22,7 +22,7 @@
     body: RequestBody
 
     def selection_criteria(self, now_ms: float) -> SelectionCriteria:
-        """Return what the backend server is chosen by."""
+        """Return the criteria for the choice of a backend server."""
         context, route = self.context, self.record.route.name
         return SelectionCriteria(
             self.record.service,
@@ -36,7 +36,7 @@
     def build_request(
         self, now_ms: float, deadline_ms: float, endpoint: Endpoint
     ) -> Request:
-        """Return the request for a backend server, which has until ``deadline_ms``."""
+        """Return the request for a backend server."""
         exchange, body = self.exchange, self.body
         record, route = self.record, self.record.route
         deferred = self.defers_body(endpoint)
@@ -64,22 +64,20 @@
         )
 
     def is_reroutable(self) -> bool:
-        """Whether the request may go elsewhere on a mere doubt, once it was let go.
+        """Whether the request may be retried when its peer is merely unresponsive.
 
-        Not if its answer is long: probes wait behind long answers on a narrow link, and
-        a download that was sent again for that filled another link too. With 90 KB on
-        links of 7.5 Mbit/s, a day of high load was worth 0.14 so, 0.36 with downloads
-        that wait. They are run again after a failure that is certain.
+        Not if its answer is long: on a narrow link, probes wait behind long answers,
+        and a second download would fill another link too.
         """
         answer_bytes = self.context.answer_sizes.mean_kib(self.record.route.name) * 1024
         return self.record.route.idempotent and answer_bytes <= LARGE_BODY_BYTES
 
     def defers_body(self, endpoint: Endpoint) -> bool:
-        """Whether the body is sent only once the other node asks for it."""
+        """Whether the body is sent only once the peer asks for it."""
         return self.body.is_deferred and not self.context.members.is_local(endpoint)
 
     def _transfer_kib(self) -> float:
-        """Return the size of the request's body and its likely answer."""
+        """Return the size of the request's body and its expected answer."""
         body_bytes = max(self.body.size_bytes, self.exchange.length)
         return (
             self.context.answer_sizes.mean_kib(self.record.route.name)
--- a/azurestep/mesh/callers/own_answers.py
+++ b/azurestep/mesh/callers/own_answers.py
@@ -1,28 +1,27 @@
-"""Answers that a node gives in its own name."""
+"""Answers that a node generates itself."""
 
 from ...http.server import Exchange, Headers
 from ...platform.headers import REQUEST_ID, read_caller
 from ..runtime import Runtime
 
 RETRY_AFTER_JITTER = 0.5
-"""Share by which the time to come back is varied, so that callers that were
-refused together do not return together."""
+"""Relative jitter of Retry-After, so that refused callers don't retry together."""
 NO_BACKEND_RETRY_AFTER_MS = 250.0
-"""Time to come back where no backend server is known: about as long as a node
-needs to hear of one that returns."""
+"""Time after which to retry when no backend server is available: about as long as
+the news of one needs to arrive."""
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
 
 
 def id_header(request_id: bytes) -> Headers:
-    """Return the header that names the request that is answered."""
+    """Return the header with the request's id, if there is one."""
     return [(REQUEST_ID, request_id)] if request_id else []
 
 
 def answer_refused(
     runtime: Runtime, exchange: Exchange, request_id: bytes, retry_after_ms: float
 ) -> None:
-    """Answer that a request has not run, and when to come back."""
+    """Answer 503 with Retry-After: the request has not run."""
     jitter = 1 + RETRY_AFTER_JITTER * (2 * runtime.random.random() - 1)
     headers = id_header(request_id)
     headers.append((b"Retry-After", b"%.3f" % (retry_after_ms * jitter / 1000)))
@@ -30,6 +29,6 @@
 
 
 def answer_bad_gateway(exchange: Exchange) -> None:
-    """Answer after a fault of this program: the request may have run."""
+    """Answer 502 after an internal error: the request may have run."""
     headers = id_header(read_caller(exchange.headers).request_id)
     exchange.answer(BAD_GATEWAY, headers, b"")
--- a/azurestep/mesh/callers/placement.py
+++ b/azurestep/mesh/callers/placement.py
@@ -1,4 +1,4 @@
-"""Which backend server has an attempt, and which ones it was at before."""
+"""Choice of the backend servers that a call is sent to, one after the other."""
 
 import attrs
 
@@ -6,17 +6,17 @@
 from .context import CallContext
 
 AVOID_AFTER_FAILURE_MS = 400.0
-"""Time for which a backend server that failed is chosen only without another."""
+"""Time for which a failed backend server is chosen only if there is no other."""
 
 
 @attrs.define(slots=True, eq=False)
 class EndpointSelector:
-    """The backend server that was chosen for one attempt.
+    """Selects backend servers for one call, and counts the call as in flight there.
 
     Attributes
     ----------
     endpoint : Endpoint or None
-        The one that is asked now.
+        The one that has the request now.
     """
 
     context: CallContext
@@ -25,7 +25,7 @@
     _excluded: set[object] = attrs.field(factory=set)
 
     def choose(self, criteria: SelectionCriteria, now_ms: float) -> Endpoint | None:
-        """Return a backend server that was not asked yet; None if there is none."""
+        """Return the best backend server that isn't excluded, or None."""
         return choose_endpoint(
             self.context.members.endpoints(self.service),
             criteria,
@@ -35,30 +35,30 @@
         )
 
     def assign(self, endpoint: Endpoint) -> None:
-        """Ask a backend server."""
+        """Make a backend server the current one and count the call there."""
         self.endpoint = endpoint
         endpoint.own_in_flight += 1
 
     def release(self) -> Endpoint | None:
-        """Ask it no longer; return it, if one was asked."""
+        """Uncount the call at the current backend server, if any, and return it."""
         endpoint, self.endpoint = self.endpoint, None
         if endpoint is not None:
             endpoint.own_in_flight -= 1
         return endpoint
 
     def exclude(self, endpoint: Endpoint) -> None:
-        """Don't ask a backend server again for this attempt."""
+        """Exclude a backend server for the rest of this call."""
         self._excluded.add(endpoint.key)
 
     def avoid(self, endpoint: Endpoint) -> None:
-        """Ask a backend server that failed only without another, for any attempt."""
+        """Exclude a failed backend server, and avoid it for other calls for a while."""
         self.exclude(endpoint)
         endpoint.failed_until_ms = (
             self.context.runtime.now_ms() + AVOID_AFTER_FAILURE_MS
         )
 
     def has_alternative(self) -> bool:
-        """Whether a backend server is left that is open and not in doubt."""
+        """Whether another backend server is open, responsive and not excluded."""
         return any(
             other.open and not other.unresponsive and other.key not in self._excluded
             for other in self.context.members.endpoints(self.service)
--- a/azurestep/mesh/callers/record.py
+++ b/azurestep/mesh/callers/record.py
@@ -1,4 +1,4 @@
-"""What the log lines of one attempt tell."""
+"""Log lines about one call."""
 
 import attrs
 
@@ -12,18 +12,18 @@
 
 @attrs.define(slots=True, eq=False)
 class CallRecord:
-    """One attempt of a caller, as its lines show it.
+    """One call, as its log lines show it.
 
     Attributes
     ----------
     nodes_asked : int
-        Nodes that were asked.
+        Nodes that the request was sent to.
     runs : int
-        Backend servers that the request may have reached.
+        Backend servers where the request may have run.
     instance : bytes
-        Backend server that was asked last.
+        Backend server that the request was sent to last.
     waited_ms, ran_ms : float
-        Time beside that server and at it, as its answer told.
+        Time in the queue before that server, and at the server.
     """
 
     request_id: bytes
@@ -39,21 +39,21 @@
     ran_ms: float = 0.0
 
     def objective_ms(self, now_ms: float) -> float:
-        """Return the time until the answer loses value, negative once it has."""
+        """Return the time left to the objective; negative once it is missed."""
         return self.route.objective_ms - (now_ms - self.attempt.first_attempt_ms)
 
     def record_times(self, answer: Answer) -> None:
-        """Take in what an answer tells of its way."""
+        """Record the times that an answer reports."""
         self.waited_ms, self.ran_ms = answer.waited_ms, answer.ran_ms
 
     def log_answered(self, status: int, now_ms: float) -> None:
-        """Log that the caller got a backend server's answer."""
+        """Log that a backend server's answer was passed on."""
         in_time = status < FIRST_FAILURE_STATUS and self.objective_ms(now_ms) >= 0
         log = events.log_routine if in_time else events.log
         log(events.CALL_ENDED, **self._fields(status, "", now_ms))
 
     def log_refused(self, status: int, reason: Reason, now_ms: float) -> None:
-        """Log that the request is refused and has not run."""
+        """Log that the request was refused and has not run."""
         events.log(events.CALL_REFUSED, **self._fields(status, reason.name, now_ms))
 
     def log_failed(self, status: int, reason: Reason, now_ms: float) -> None:
@@ -61,11 +61,11 @@
         events.log(events.CALL_FAILED, **self._fields(status, reason.name, now_ms))
 
     def log_retried(self, status: int, reason: Reason, now_ms: float) -> None:
-        """Log that another backend server is asked."""
+        """Log that the request is retried at another backend server."""
         events.log(events.CALL_RETRIED, **self._fields(status, reason.name, now_ms))
 
     def log_disconnected(self, now_ms: float) -> None:
-        """Log that the caller left."""
+        """Log that the caller disconnected."""
         events.log(
             events.CALLER_DISCONNECTED,
             id=self.request_id,
