--- a/azurestep/mesh/links/__init__.py
+++ b/azurestep/mesh/links/__init__.py
@@ -1,1 +1,1 @@
-"""Links between nodes: requests, answers and news."""
+"""Links between nodes: requests, outcomes, state and configurations."""
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a link: requests and probes out, outcomes and state in."""
+"""One connection that this node opened to a peer: requests out, outcomes in."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 from .interfaces import CallReceiver, FleetListener
 
 BUSY_PROBE_INTERVAL_MS = 90.0
-"""Time between probes of a link with requests under way."""
+"""Time between probes of a link with requests in flight."""
 
 
 class ConnectionOwner(Protocol):
@@ -43,28 +43,28 @@
 
     @property
     def fleet_listener(self) -> FleetListener:
-        """What hears of news that concern the whole fleet."""
+        """Receiver of news that concern the whole fleet."""
 
     def on_hello(self, connection: "PeerConnection", hello: Hello) -> None:
-        """Take the other node's greeting."""
+        """Handle the peer's greeting."""
 
     def on_state(self, connection: "PeerConnection", state: State) -> None:
-        """Take the other node's state."""
+        """Handle the peer's state."""
 
     def on_connection_lost(self, connection: "PeerConnection") -> None:
-        """Learn that the connection ended."""
+        """Handle the end of the connection."""
 
 
 @attrs.define(eq=False)
 class RemoteStream:
-    """One request on a link.
+    """One request on a link, identified by its stream id.
 
     Attributes
     ----------
     reroutable : bool
-        Whether it may go elsewhere when the link falls silent, though it may have run.
+        Whether it may be retried when the peer is unresponsive, though it may have run.
     confirmed : bool
-        Whether the other node may have sent it to its backend server.
+        Whether the peer may have sent it to its backend server.
     """
 
     connection: "PeerConnection"
@@ -79,26 +79,26 @@
         self.connection.send(Kind.BODY, self.stream_id, data, whole)
 
     def cancel(self) -> None:
-        """Stop the request."""
+        """Cancel the request."""
         if self.connection.streams.pop(self.stream_id, None) is not None:
             self.connection.send(Kind.CANCEL, self.stream_id)
             self.connection.close_if_done()
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request may have run, or may run yet."""
+        """Whether the request may have run, or may still run."""
         return self.confirmed
 
     def withdraw(self) -> None:
-        """Stop the request and have the other node say whether it had not run."""
+        """Cancel the request; the peer replies whether it may have run."""
         self.connection.send(Kind.WITHDRAW, self.stream_id)
 
     def grant(self, size: int) -> None:
-        """Take more of the answer."""
+        """Allow the peer to send more of the answer."""
         self.connection.send(Kind.CREDIT, self.stream_id, size)
 
     def replace_receiver(self, receiver: CallReceiver) -> None:
-        """Have another receiver hear of the outcome."""
+        """Send the outcome to another receiver."""
         self.receiver = receiver
 
 
@@ -116,19 +116,19 @@
         self._retired = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet the other node."""
+        """Greet the peer and probe it."""
         self._transport = transport  # type: ignore[assignment]
         self.link.connection = self
         self.send(Kind.HELLO, *fields_of(self.link.fleet_listener.hello()))
         self.ping()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail what is unanswered; it may have run."""
+        """Fail the requests in flight; those that were confirmed may have run."""
         self.link.runtime.run_guarded("link_out", self.link.on_connection_lost, self)
         self._fail_streams()
 
     def data_received(self, data: bytes) -> None:
-        """Take messages."""
+        """Decode messages and handle them."""
         self.last_received_ms = self.link.runtime.now_ms()
         for stream_id, message in self._decoder.feed(data):
             stream = None
@@ -146,7 +146,7 @@
             self.abort()
 
     def _contain(self, stream: RemoteStream | None, error: Exception) -> None:
-        """End the request that met a fault of this program; the others go on."""
+        """Cancel the request whose handling failed; the others continue."""
         runtime = self.link.runtime
         name = b"" if stream is None else stream.request_id
         runtime.report_fault("link_out", error, id=name)
@@ -171,18 +171,18 @@
         return stream
 
     def _probe_if_idle(self) -> None:
-        """Probe along with a request if the link rested: it may have died meanwhile."""
+        """Probe along with a request if the link was idle, as it may be broken."""
         age_ms = self.link.runtime.now_ms() - self.last_received_ms
         if self.probe_answered and age_ms > BUSY_PROBE_INTERVAL_MS:
             self.ping()
 
     @property
     def probe_answered(self) -> bool:
-        """Whether something came since the last probe."""
+        """Whether anything was received since the last probe."""
         return self.last_received_ms >= self.last_probe_ms
 
     def mark_unresponsive(self) -> None:
-        """Let the senders of all requests look for another way."""
+        """Let all requests in flight be retried elsewhere."""
         for stream in list(self.streams.values()):
             self._notify_unresponsive(stream)
 
@@ -192,7 +192,7 @@
     def _notify(
         self, stream: RemoteStream, notify: Callable[[Any], None], event: object
     ) -> None:
-        """Tell one sender; a fault there keeps no other from being told."""
+        """Notify one receiver; an error there doesn't affect the others."""
         try:
             notify(event)
         except Exception as error:
@@ -204,21 +204,20 @@
             self._transport.write(encode(kind, *fields))
 
     def ping(self) -> None:
-        """Ask for a sign of life."""
+        """Send a probe."""
         self.last_probe_ms = self.link.runtime.now_ms()
         self.send(Kind.PING, self.last_probe_ms)
 
     def abort(self) -> None:
-        """Reset the connection, so that bytes held up on the way are lost."""
+        """Reset the connection, so that unsent bytes are dropped."""
         if self._transport is not None:
             self._transport.abort()
 
     def retire(self) -> None:
-        """Take back what has not run; let the rest wait here unless it can move.
+        """Take the connection out of use; close it once nothing waits for an answer.
 
-        The node may be alive behind a full link, with the runs that were let go still
-        at work. Given up without another way, such a request failed though its answer
-        was on the way; on a stopping node that cuts a caller's request.
+        Requests that have not run are refused. The others keep waiting unless they can
+        be retried elsewhere: the peer may be alive behind a congested link.
         """
         for stream_id, stream in list(self.streams.items()):
             if stream.confirmed and stream.reroutable:
@@ -230,10 +229,7 @@
         self.close_if_done()
 
     def close_if_done(self) -> None:
-        """Close a connection that fell silent, once nothing waits on it.
-
-        Another one is open by then; nothing else would ever close this one.
-        """
+        """Close a retired connection once no request waits on it."""
         if self._retired and not self.streams:
             self.abort()
 
@@ -257,7 +253,7 @@
         self.link.on_hello(self, hello)
 
     def _on_pong(self, _: None, pong: Pong) -> None:
-        """Any message is a sign of life."""
+        """Ignore; any received message answers the probe."""
 
     def _on_configuration(self, _: None, news: ConfigurationUpdate) -> None:
         self.link.fleet_listener.on_configuration(news.version, news.content)
@@ -305,5 +301,4 @@
     SlotReady: PeerConnection._on_slot_ready,
     Credit: PeerConnection._on_credit,
 }
-"""What is done with a message, by its type: a table costs less than ``singledispatch``,
-and each request passes here several times."""
+"""Handlers by message type; faster than ``singledispatch`` on this hot path."""
--- a/azurestep/mesh/links/decoding.py
+++ b/azurestep/mesh/links/decoding.py
@@ -1,7 +1,7 @@
-"""Received bytes turned into typed messages, before anything is handled.
+"""Decoding of received bytes into validated messages.
 
-What comes out has the types that its class names, so that an error raised in handling
-it is one of this program and never one of the other node.
+A decoded message has the types that its class declares, so that an error in handling
+it is always a bug of this program and not a peer's fault.
 """
 
 import typing
@@ -42,13 +42,12 @@
 )
 
 INITIAL_BUFFER_BYTES = 8192
-"""First size of a link's buffer. The library's own choice of 1 MiB for each link
-made the peak memory of a node with 24 links 39 MB."""
+"""Initial size of a link's buffer; the library's default is 1 MiB for each link."""
 MAX_ARRAY_ITEMS = 1_000_000
-"""Most items of an array. Room for them is taken as soon as their number is read: at
-the library's limit, five bytes take 800 MB."""
+"""Longest array that is decoded. The library allocates an array as soon as its
+length is read, so that a few bytes could claim all memory."""
 NO_STREAM = 0
-"""Number that stands for the request in messages that concern none."""
+"""Stream id of messages that concern no single request."""
 BUILT_IN = (bytes,)
 as_tuple = msgspec.structs.astuple
 
@@ -77,16 +76,16 @@
 
 @attrs.frozen(slots=True)
 class MessageSchema:
-    """What messages of one kind look like.
+    """How messages of one kind are validated and built.
 
     Attributes
     ----------
     validate : Callable
-        Checks kind, number, if it has one, and fields, and returns them as a row.
+        Validates a row of kind, stream id (if the kind has one) and fields.
     build : Callable
-        Returns the message with the fields behind kind and number.
+        Returns the message for its fields.
     has_stream_id : bool
-        Whether it concerns one request, whose number comes second.
+        Whether the message concerns one request, whose stream id comes second.
     """
 
     validate: Callable[[tuple[Any, ...]], Any]
@@ -118,7 +117,7 @@
 
 
 def _make_validator(row: type) -> Callable[[tuple[Any, ...]], Any]:
-    """Return what checks a row; text counts as bytes only if told so, which costs."""
+    """Return the validator of a row; only rows with bytes need a slower one."""
     convert = msgspec.convert
     if "bytes" in repr(typing.get_type_hints(row)):
         return lambda fields: convert(fields, row, builtin_types=BUILT_IN)
@@ -128,7 +127,7 @@
 def _build_hello(*fields: Any) -> Hello:
     hello = Hello(*fields)
     if hello.format != PROTOCOL_VERSION:
-        raise ValueError(f"protocol format {hello.format}")
+        raise ValueError(f"unsupported protocol format {hello.format}")
     return hello
 
 
@@ -155,7 +154,7 @@
     Kind.CREDIT: _CREDIT,
     Kind.CONFIGURATION_QUERY: _schema(ConfigurationQuery, has_stream_id=False),
 }
-"""What the node that opened a link sends."""
+"""Kinds of messages that the node that opened a link may send."""
 OF_CALLED_NODES: MessageSchemas = {
     Kind.HELLO: _HELLO,
     Kind.STATE: _schema(State, has_stream_id=False),
@@ -173,22 +172,22 @@
         CrashReport, _build_crashes, has_stream_id=False, updates=_CRASH_ROWS
     ),
 }
-"""What the node that a link leads to sends."""
+"""Kinds of messages that the node that accepted a link may send."""
 
 
 class Decoder:
-    """Turns received bytes into typed messages.
+    """Decodes received bytes into validated messages.
 
     Parameters
     ----------
     schemas : dict
-        What the other end may send; other kinds are those of a newer program and are
-        passed by.
+        Kinds of messages that the peer may send. Other kinds are skipped, as they may
+        belong to a newer version.
 
     Attributes
     ----------
     fault : str
-        Why nothing more can be read; empty while all is well.
+        Why decoding has stopped; empty while there was no error.
 
     Examples
     --------
@@ -212,9 +211,9 @@
         )
 
     def feed(self, data: bytes) -> list[tuple[int, Message]]:
-        """Return the messages complete with these bytes, each behind its number.
+        """Return the messages that these bytes complete, with their stream ids.
 
-        Those before one that can't be read are returned too.
+        Messages before a malformed one are returned too.
         """
         messages: list[tuple[int, Message]] = []
         if self.fault:
@@ -223,7 +222,7 @@
             self._unpacker.feed(data)
             for row in self._unpacker:
                 if type(row) is not tuple or not row or type(row[0]) is not int:
-                    raise ValueError("it does not begin with its kind")
+                    raise ValueError("the message does not begin with its kind")
                 schema = self._schemas.get(row[0])
                 if schema is None:
                     continue
--- a/azurestep/mesh/links/guarded.py
+++ b/azurestep/mesh/links/guarded.py
@@ -1,4 +1,4 @@
-"""The sender of a request that runs beside this node."""
+"""Receiver of a request that runs at the local backend server."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,10 +12,10 @@
 
 @attrs.define(slots=True, eq=False)
 class GuardedReceiver:
-    """Keeps a fault of one sender from the queue and the other runs.
+    """Contains errors of a receiver, which is called from within the queue.
 
-    An outcome is told from within the queue beside the backend server. A fault that
-    went back through it left slots taken and other requests unanswered.
+    An error that propagated into the queue would leak slots and leave other requests
+    unanswered.
     """
 
     runtime: Runtime
@@ -23,11 +23,11 @@
     request_id: bytes
 
     def on_answer(self, answer: Answer) -> None:
-        """Pass the answer on, or its beginning."""
+        """Pass on the answer, or its head and first bytes."""
         self._notify(self.receiver.on_answer, answer)
 
     def on_answer_data(self, data: bytes, whole: bool) -> None:
-        """Pass more of the answer on."""
+        """Pass on more of the answer."""
         self._notify(self.receiver.on_answer_data, data, whole)
 
     def on_refusal(self, refusal: Refusal) -> None:
@@ -35,15 +35,15 @@
         self._notify(self.receiver.on_refusal, refusal)
 
     def on_failure(self, failure: Failure) -> None:
-        """Pass on that no whole answer comes."""
+        """Pass on that the request failed and may have run."""
         self._notify(self.receiver.on_failure, failure)
 
     def on_credit(self, size: int) -> None:
-        """Pass on that bytes of the body were taken."""
+        """Pass on the credit for more of the body."""
         self._notify(self.receiver.on_credit, size)
 
     def on_slot_ready(self) -> None:
-        """Pass on that there is a slot."""
+        """Pass on that the request has a slot."""
         self._notify(self.receiver.on_slot_ready)
 
     def _notify(self, notify: Callable[..., None], *arguments: Any) -> None:
--- a/azurestep/mesh/links/incoming.py
+++ b/azurestep/mesh/links/incoming.py
@@ -1,4 +1,4 @@
-"""Links that other nodes opened: their requests in, answers and state out."""
+"""Links that peers opened: their requests in, outcomes and state out."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,29 +37,29 @@
 
 PONG = encode(Kind.PONG)
 LATE_AFTER_MS = 100.0
-"""Delay beyond a link's usual one from which on a request counts as held up, so
-that it isn't run for longer than its caller waits."""
+"""Delay above the link's minimum from which on it is deducted from a request's time,
+so that the request isn't run for longer than its caller waits."""
 URGENT_FAILURE_RATIO = 0.3
-"""Failing share from which on nodes are told at once."""
+"""Failure ratio from which on a change is sent at once."""
 MIN_DELAY_GROWTH = 0.01
-"""How fast the known least delay of a link rises again, so that a clock that
-stood still at one end doesn't make all later requests look late."""
+"""Share of a delay's excess by which the link's minimum delay grows, so that a shift
+between both clocks doesn't make all later requests look late."""
 
 
 @attrs.define(eq=False)
 class IncomingLinks:
-    """What all links that other nodes opened share.
+    """State that all links opened by peers share.
 
     Attributes
     ----------
     hello, state : Callable
-        Return what this node says of itself now.
+        Return this node's current greeting and state.
     on_peer : Callable
-        Called with the greeting of a node that opened a link.
+        Called with the greeting of a peer that opened a link.
     configuration : Callable
         Returns version and content of the configuration in force.
     store_version : Callable
-        Returns the newest version that this node read from the store itself.
+        Returns the latest version that this node read from the store itself.
     """
 
     runtime: Runtime
@@ -81,15 +81,11 @@
 
     @property
     def has_unsent_outcomes(self) -> bool:
-        """Whether an outcome for another node has not left.
-
-        A process that ends drops what its send buffers hold: 24 of 40 answers behind a
-        slow link came out as failures at the node that had asked.
-        """
+        """Whether send buffers hold outcomes, which an exit would drop."""
         return any(link.has_unsent_outcome for link in self.links)
 
     def broadcast_state(self) -> None:
-        """Tell all nodes the state of this one: what matters at once, load in turn."""
+        """Send this node's state to all peers; rate-limited unless it is urgent."""
         state = self.state()
         data = encode(Kind.STATE, *fields_of(state))
         now_ms = self.runtime.now_ms()
@@ -108,10 +104,9 @@
             self._write(remote, data)
 
     def push_configuration(self) -> None:
-        """Send the configuration in force to the nodes of this data centre.
+        """Send the configuration in force to the peers of the local data centre.
 
-        Done by the node that read it. Passed on by each of 24 nodes to all others, one
-        version of 20 KB kept links of 10 Mbit/s busy for 0.4 s.
+        Only the node that read it from the store pushes it, to spare narrow links.
         """
         version, content = self.configuration()
         data = encode(Kind.CONFIGURATION, version, compress(content))
@@ -126,15 +121,15 @@
             link.write(data)
 
     def broadcast_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
-        """Tell all nodes which requests were under way as a backend server died."""
+        """Send all peers a report of requests in flight at a backend server's crash."""
         self._write(self.links, encode(Kind.CRASHES, service, encode_updates(updates)))
 
 
 def _urgent_fields(state: State) -> tuple[object, ...]:
-    """Return what other nodes must not act on a moment longer once it changed.
+    """Return the part of a state whose changes are sent to peers at once.
 
-    A version is news when it was read from the store. If all nodes told it at once,
-    each of 74 would get 73 messages in the moment in which it reads the document.
+    The configuration version is left out: it changes at all nodes at about the same
+    time, and links would be flooded.
     """
     return (
         state.service,
@@ -149,7 +144,7 @@
 
 
 class IncomingLink(asyncio.Protocol):
-    """One link that another node opened."""
+    """One link that a peer opened."""
 
     def __init__(self, incoming_links: IncomingLinks) -> None:
         self.incoming_links = incoming_links
@@ -161,7 +156,7 @@
         self._min_delay_ms: float | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet the other node and tell it this one's state."""
+        """Greet the peer and send it this node's state and crash reports."""
         self._transport = transport  # type: ignore[assignment]
         incoming_links = self.incoming_links
         incoming_links.links.add(self)
@@ -172,7 +167,7 @@
             self.send(Kind.CRASHES, service, encode_updates(updates))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop what nobody waits for any more."""
+        """Cancel the peer's requests."""
         self.incoming_links.links.discard(self)
         runs, self._runs = self._runs, {}
         for run in runs.values():
@@ -186,7 +181,7 @@
             self.incoming_links.runtime.report_fault("link_in", error, id=name)
 
     def data_received(self, data: bytes) -> None:
-        """Take messages."""
+        """Decode messages and handle them."""
         for stream_id, message in self._decoder.feed(data):
             try:
                 HANDLERS[type(message)](self, stream_id, message)
@@ -197,11 +192,10 @@
             self.abort()
 
     def _contain(self, stream_id: int, message: Message, error: Exception) -> None:
-        """Fail the request that met a fault of this program; the others go on.
+        """Fail the request whose handling failed; the others continue.
 
-        The run is cancelled, not failed: a failed one speaks against its backend
-        server. Its sender is told in any case; where it was told before, it passes
-        this by.
+        The run is cancelled rather than failed, so that the internal error doesn't
+        count against the backend server. A sender that has an outcome ignores this one.
         """
         runtime = self.incoming_links.runtime
         run = self._runs.pop(stream_id, None)
@@ -225,9 +219,10 @@
 
     @property
     def has_unsent_outcome(self) -> bool:
-        """Whether bytes have not left since the last outcome; news alone don't count.
+        """Whether the send buffer has not been empty since the last outcome.
 
-        News for a node that is gone would keep a stopping one for its grace time.
+        State messages alone don't count: for an unreachable peer they would delay the
+        shutdown.
         """
         transport = self._transport
         if transport is None or not transport.get_write_buffer_size():
@@ -235,12 +230,12 @@
         return self._has_written_outcome
 
     def end_stream(self, stream_id: int) -> None:
-        """Forget a request that ended; its outcome is written."""
+        """Remove a request whose outcome was written."""
         self._has_written_outcome = True
         self._runs.pop(stream_id, None)
 
     def abort(self) -> None:
-        """Reset the link."""
+        """Reset the connection."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -316,5 +311,4 @@
     Hello: IncomingLink._on_hello,
     ConfigurationQuery: IncomingLink._on_configuration_query,
 }
-"""What is done with a message, by its type: a table costs less than ``singledispatch``,
-and each request passes here several times."""
+"""Handlers by message type; faster than ``singledispatch`` on this hot path."""
--- a/azurestep/mesh/links/interfaces.py
+++ b/azurestep/mesh/links/interfaces.py
@@ -1,4 +1,4 @@
-"""What links and the senders of requests need of one another."""
+"""Interfaces between links and the senders of requests."""
 
 from typing import Protocol
 
@@ -8,52 +8,52 @@
 
 
 class Stream(Protocol):
-    """The sender's hold on one request."""
+    """The sender's handle of one request."""
 
     def body(self, data: bytes, whole: bool) -> None:
         """Send more of the body."""
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request may have run, or may run yet."""
+        """Whether the request may have run, or may still run."""
 
     def cancel(self) -> None:
-        """Stop the request; nobody waits for it."""
+        """Cancel the request without a reply."""
 
     def withdraw(self) -> None:
-        """Stop the request; its receiver is told whether it had not run."""
+        """Cancel the request; its receiver gets a refusal if it has not run."""
 
     def grant(self, size: int) -> None:
-        """Take more of the answer."""
+        """Allow so many more bytes of the answer."""
 
     def replace_receiver(self, receiver: "CallReceiver") -> None:
-        """Have another receiver hear of the outcome."""
+        """Send the outcome to another receiver."""
 
 
 class CallReceiver(AnswerReceiver, Protocol):
-    """What sent a request over a link."""
+    """Receiver of the outcome of a request that was sent over a link."""
 
     def on_unresponsive(self, confirmed: bool) -> None:
-        """Learn that the node owes a sign of life.
+        """Handle that the peer does not answer a probe.
 
         Parameters
         ----------
         confirmed : bool
-            Whether the request may have run; False if it surely has not.
+            Whether the request may have run.
         """
 
     def on_fault(self) -> None:
-        """End the request: a fault of this program came while it was handled."""
+        """End the request after an internal error."""
 
 
 class FleetListener(Protocol):
-    """What hears of news that concern the whole fleet, whichever node tells them."""
+    """Receiver of news that concern the whole fleet, from any peer."""
 
     def on_configuration(self, version: int, content: bytes) -> None:
-        """Take a configuration that a node sent."""
+        """Handle a configuration that a peer sent."""
 
     def on_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
-        """Learn which requests were under way as backend servers died."""
+        """Handle a report of requests in flight at a backend server's crash."""
 
     def hello(self) -> Hello:
         """Return this node's greeting."""
--- a/azurestep/mesh/links/link.py
+++ b/azurestep/mesh/links/link.py
@@ -1,4 +1,4 @@
-"""Links that this node opens to others, over one connection after the other."""
+"""Links that this node opens to its peers, with reconnects."""
 
 import asyncio
 from typing import Protocol
@@ -15,43 +15,40 @@
 from .interfaces import CallReceiver, FleetListener, Stream
 
 UNRESPONSIVE_AFTER_MS = 200.0
-"""Time without an answer to a probe after which a node gets no new requests. An
-answer takes some 3 ms; a node that gets its processor in tenths of a second may
-take 100 ms."""
+"""Time without an answer to a probe after which a peer gets no new requests."""
 LOST_AFTER_MS = 650.0
-"""Time without an answer to a probe after which a node counts as lost, with room for
-one that runs several times slower for a moment."""
+"""Time without an answer to a probe after which a peer counts as lost; long enough
+for one that is briefly slow."""
 DIAL_TIMEOUT_S = 1.0
 REDIAL_PAUSES_MS = (50.0, 200.0, 500.0, 1000.0)
-"""Pauses before the next attempts to reach a node; the last one repeats, so that a
-node that restarts while the store is away is found within about a second."""
+"""Pauses before attempts to reconnect; the last one repeats."""
 
 
 class LinkListener(FleetListener, Protocol):
-    """What hears of the nodes at the other ends of links."""
+    """Receiver of events of links."""
 
     def on_link_up(self, link: "PeerLink", hello: Hello) -> None:
-        """Learn that a node answers."""
+        """Handle that a peer answers."""
 
     def on_link_down(self, link: "PeerLink", cause: str) -> None:
-        """Learn that a node does not answer."""
+        """Handle that a peer was lost."""
 
     def on_state(self, link: "PeerLink", state: State) -> None:
-        """Learn a node's state."""
+        """Handle a new state of a peer."""
 
 
 @attrs.define(eq=False)
 class PeerLink:
-    """The way to one other node, over one connection after the other.
+    """The link to one peer, over one connection after the other.
 
     Attributes
     ----------
     up : bool
-        Whether the node answers.
+        Whether the peer answers.
     endpoint : Endpoint
-        The backend server beside that node.
+        The backend server beside that peer.
     idle_probe_interval_ms : float
-        Time between probes while no request is under way.
+        Time between probes while no request is in flight.
     """
 
     runtime: Runtime
@@ -74,17 +71,17 @@
 
     @property
     def fleet_listener(self) -> FleetListener:
-        """What hears of news that concern the whole fleet."""
+        """Receiver of news that concern the whole fleet."""
         return self.listener
 
     def send(self, request: Request, receiver: CallReceiver) -> Stream | None:
-        """Send a request; None if the node can't be reached."""
+        """Send a request; return None if the peer isn't connected."""
         if self.connection is None or not self.up:
             return None
         return self.connection.open_stream(request, receiver)
 
     def tick(self, now_ms: float) -> None:
-        """Probe the link, replace a silent connection, dial again."""
+        """Probe the peer, replace a connection that was lost, or reconnect."""
         connection = self.connection
         if connection is None:
             if not self._dialing and now_ms >= self._next_dial_ms:
@@ -111,18 +108,18 @@
                 connection.ping()
 
     def discount_pause(self, pause_ms: float) -> None:
-        """Leave out a pause of this node's own from the silence of the other."""
+        """Don't count a pause of this node as silence of the peer."""
         if self.connection is not None:
             self.connection.last_received_ms += pause_ms
             self.connection.last_probe_ms += pause_ms
 
     def request_configuration(self) -> None:
-        """Ask the node for the configuration that it holds."""
+        """Ask the peer for its configuration."""
         if self.connection is not None:
             self.connection.send(Kind.CONFIGURATION_QUERY)
 
     def dial_soon(self) -> None:
-        """Try to reach the node at the next tick."""
+        """Reconnect at the next tick."""
         self._attempts = 0
         self._next_dial_ms = 0.0
 
@@ -132,7 +129,7 @@
             self.connection.abort()
 
     def on_hello(self, connection: PeerConnection, hello: Hello) -> None:
-        """Take the other node's greeting."""
+        """Mark the link as up."""
         if connection is not self.connection:
             return
         self.peer = hello
@@ -143,7 +140,7 @@
             self.listener.on_link_up(self, hello)
 
     def on_state(self, connection: PeerConnection, state: State) -> None:
-        """Take the other node's state."""
+        """Update the endpoint from the peer's state."""
         if connection is not self.connection:
             return
         previous, self.state = self.state, state
@@ -163,7 +160,7 @@
             self.listener.on_state(self, state)
 
     def on_connection_lost(self, connection: PeerConnection) -> None:
-        """Dial again after a lost connection."""
+        """Mark the link as down, unless a newer connection replaced this one."""
         if connection is self.connection:
             self._mark_lost(connection, "closed")
 
@@ -194,5 +191,5 @@
 
 
 def _reader_criteria(state: State) -> tuple[bool, bool]:
-    """Return what decides who reads the configuration."""
+    """Return what decides whether a peer reads the configuration from the store."""
     return state.store_reachable, state.stopping
--- a/azurestep/mesh/links/members.py
+++ b/azurestep/mesh/links/members.py
@@ -1,7 +1,7 @@
-"""The other nodes, and the backend servers beside them.
+"""The links to all peers, and the backend servers beside them.
 
-Every node opens a link to every other one that it hears of: from the store when
-it starts, and from the greeting of a node that opened a link to it.
+A node opens a link to each peer that it finds in the store at its start, and to each
+peer that opens a link to it.
 """
 
 from collections.abc import Callable, Iterator
@@ -22,21 +22,21 @@
 from .link import PeerLink
 
 EXPIRE_AFTER_MS = 300_000.0
-"""Time without an answer after which a node is no longer dialled."""
+"""Time without an answer after which a peer is dropped."""
 
 
 @attrs.define(eq=False)
 class Members:
-    """Links to all known nodes.
+    """Links to all known peers.
 
     Attributes
     ----------
     make_hello : Callable
         Returns this node's greeting.
     on_change : Callable
-        Called when a node came, went or told a new state.
+        Called when a peer was reached or lost, or sent a new state.
     apply_configuration : Callable
-        Called with a configuration that a node sent.
+        Called with a configuration that a peer sent.
     """
 
     runtime: Runtime
@@ -56,7 +56,7 @@
         )
 
     def add(self, address: Address) -> None:
-        """Open a link to a node unless there is one."""
+        """Open a link to a peer, or reconnect one that is down."""
         if address == self.own_address:
             return
         link = self.links.get(address)
@@ -78,7 +78,7 @@
         return found
 
     def is_local(self, endpoint: Endpoint) -> bool:
-        """Whether a backend server is the one beside this node."""
+        """Whether a backend server is the local one."""
         return endpoint is self._local
 
     def send(
@@ -94,15 +94,15 @@
         return None if link is None else link.send(request, receiver)
 
     def live_links(self) -> Iterator[PeerLink]:
-        """Yield the links to nodes that answer."""
+        """Yield the links to peers that answer."""
         return (link for link in self.links.values() if link.up)
 
     def count(self) -> int:
-        """Return how many nodes answered at the last tick, this one included."""
+        """Return how many nodes were reachable at the last tick, including this one."""
         return self._count
 
     def tick(self, now_ms: float) -> None:
-        """Look after all links."""
+        """Expire peers that were lost for long, and maintain all other links."""
         pause_ms = idle_probe_interval_ms(len(self.links))
         for link in list(self.links.values()):
             if not link.up and now_ms - link.lost_since_ms > EXPIRE_AFTER_MS:
@@ -114,7 +114,7 @@
         self._count = 1 + sum(1 for _ in self.live_links())
 
     def discount_pause(self, pause_ms: float) -> None:
-        """Leave out a pause of this node's own from the silence of the others."""
+        """Don't count a pause of this node as silence of the peers."""
         for link in self.links.values():
             link.discount_pause(pause_ms)
 
@@ -128,7 +128,7 @@
         return self.make_hello()
 
     def on_link_up(self, link: PeerLink, hello: Hello) -> None:
-        """Log that a node answers."""
+        """Log that a peer answers."""
         events.log(
             events.PEER_REACHED,
             peer=link.address[0],
@@ -137,20 +137,20 @@
         self.on_change()
 
     def on_link_down(self, link: PeerLink, cause: str) -> None:
-        """Log that a node does not answer."""
+        """Log that a peer was lost."""
         events.log(events.PEER_LOST, peer=link.address[0], cause=cause)
         self.on_change()
 
     def on_state(self, link: PeerLink, state: State) -> None:
-        """Pass news of a node on."""
+        """Report that a peer's state changed."""
         self.on_change()
 
     def on_configuration(self, version: int, content: bytes) -> None:
-        """Pass a configuration on."""
+        """Pass on a configuration that a peer sent."""
         self.apply_configuration(version, content)
 
     def on_crashes(self, service: str, updates: list[QuarantineUpdate]) -> None:
-        """Take in which requests were under way as backend servers died."""
+        """Merge a report of requests in flight at a backend server's crash."""
         self.inbound.crashes.merge(service, updates, self.runtime.now_ms())
 
     def _refresh_local(self) -> Endpoint:
--- a/azurestep/mesh/links/outcome_forwarder.py
+++ b/azurestep/mesh/links/outcome_forwarder.py
@@ -1,4 +1,4 @@
-"""The sender of one request, at the other end of a link."""
+"""Forwarding of a request's outcome to the peer that sent it."""
 
 from typing import Protocol
 
@@ -8,24 +8,24 @@
 
 
 class OutcomeLink(Protocol):
-    """The link over which outcomes go back."""
+    """The link over which outcomes are sent."""
 
     def send(self, kind: Kind, *fields: object) -> None:
         """Send a message."""
 
     def end_stream(self, stream_id: int) -> None:
-        """Forget a request that ended."""
+        """Remove a request that ended."""
 
 
 @attrs.define(eq=False)
 class OutcomeForwarder:
-    """Sends the outcome of one request back over the link."""
+    """Sends the outcome of one request to the peer that sent it."""
 
     link: OutcomeLink
     stream_id: int
 
     def on_answer(self, answer: Answer) -> None:
-        """Send the answer, or its beginning."""
+        """Send the answer, or its head and first bytes."""
         self.link.send(Kind.ANSWER, self.stream_id, *fields_of(answer))
         if answer.whole:
             self.link.end_stream(self.stream_id)
@@ -47,9 +47,9 @@
         self.link.end_stream(self.stream_id)
 
     def on_credit(self, size: int) -> None:
-        """Let the sender send more of the body."""
+        """Send credit for more of the body."""
         self.link.send(Kind.CREDIT, self.stream_id, size)
 
     def on_slot_ready(self) -> None:
-        """Ask the sender whether the request still stands."""
+        """Ask the sender to confirm the request, which has a slot now."""
         self.link.send(Kind.SLOT_READY, self.stream_id)
