--- a/azurestep/mesh/knowledge/__init__.py
+++ b/azurestep/mesh/knowledge/__init__.py
@@ -1,1 +1,1 @@
-"""What a node knows of the fleet: the configuration and the other nodes."""
+"""A node's configuration, and the discovery of its peers."""
--- a/azurestep/mesh/knowledge/configuration.py
+++ b/azurestep/mesh/knowledge/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this node: it only ever gets newer."""
+"""The configuration in force at this node, which is only replaced by newer ones."""
 
 from collections.abc import Callable
 from random import Random
@@ -13,21 +13,21 @@
 
 SOURCE_STORE = "store"
 SOURCE_PEER = "node"
-"""Where a document came from."""
+"""Source of a document, as it is logged."""
 
 
 @attrs.define(eq=False)
 class Configuration:
-    """The newest configuration that this node has seen.
+    """The latest configuration that this node has received.
 
     Attributes
     ----------
     on_change : Callable
-        Called after a version came into force.
+        Called after a new version was applied.
     content : bytes
-        The document as the operators wrote it.
+        The document as the operators published it.
     store_version : int
-        Newest version that this node read from the store itself; 0 for none.
+        Latest version that this node read from the store itself; 0 for none.
     """
 
     on_change: Callable[[RoutingTable], None]
@@ -42,11 +42,11 @@
         return 0 if self.table is None else self.table.version
 
     def allows_service(self, service: str) -> bool:
-        """Whether a service may be routed to; any may while no version is known."""
+        """Whether the configuration has the service; True while there is none."""
         return self.table is None or service in self.table.services
 
     def apply_if_newer(self, content: bytes, source: str) -> bool:
-        """Put a document in force if it is newer; return whether it is."""
+        """Apply a document if it is valid and newer; return whether it was applied."""
         if content == self.content:
             return False
         try:
--- a/azurestep/mesh/knowledge/configuration_watcher.py
+++ b/azurestep/mesh/knowledge/configuration_watcher.py
@@ -1,8 +1,9 @@
-"""Reading the configuration from the store, and who does it.
+"""Keeping a node's configuration up to date.
 
-One node of each data centre holds a long poll and passes versions on inside it,
-where bytes are free. The others hear the versions of all nodes and ask for what
-they lack. A reader that can't reach the store says so and the next one takes over.
+One node of each data centre, the reader, watches the store with a long poll and pushes
+new versions to its peers there. The other nodes compare their version with those of
+their peers and ask for a newer one. If the reader can't reach the store, the next node
+in the order of addresses takes over.
 """
 
 import asyncio
@@ -24,16 +25,15 @@
 from .configuration import SOURCE_STORE, Configuration
 
 LONG_POLL_MS = 1000
-"""Length of a long poll. A reader whose connection went silent knows it after this
-and half a second, well inside the bound of two seconds for a new version."""
+"""Length of a long poll; bounds the time until a reader detects a dead connection."""
 ROLE_CHECK_S = 0.1
-"""How often a node that is no reader looks whether it should be one."""
+"""How often a node that isn't the reader checks whether it should be."""
 RETRY_PAUSES_S = (0.2, 0.4, 0.8)
-"""Pauses of a reader after calls that failed."""
+"""Pauses of a reader after failed calls; the last one repeats."""
 FALLBACK_RETRY_PAUSE_S = 2.0
-"""Pause of a node without any reader left that is not first in order."""
+"""Pause after a failed call of a node that isn't first in the order of readers."""
 CATCH_UP_AFTER_MS = 250.0
-"""Time after which a node asks for a version that another one has."""
+"""Time after which a node asks a peer for a newer version."""
 
 
 @attrs.define(eq=False)
@@ -43,9 +43,9 @@
     Attributes
     ----------
     store_reachable : bool
-        Whether the last call to the store was answered.
+        Whether the store answered the last call.
     on_store_change : Callable
-        Called when that changed.
+        Called when this changed.
     """
 
     runtime: Runtime
@@ -60,7 +60,7 @@
     _wake_event: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def run(self) -> None:
-        """Read for as long as the node runs."""
+        """Read from the store while this node is the reader or has no configuration."""
         while True:
             if self.configuration.version and not self._should_read():
                 await self._pause(ROLE_CHECK_S)
@@ -71,11 +71,11 @@
             await asyncio.sleep(self._retry_pause_s())
 
     def wake(self) -> None:
-        """Look at once whether this node should read."""
+        """Check now whether this node should be the reader."""
         self._wake_event.set()
 
     def tick(self, now_ms: float) -> None:
-        """Ask another node for a version that this one lacks."""
+        """Ask a peer for a newer version, preferably a local one."""
         candidate = None
         for link in self.members.live_links():
             version = link.state.configuration_version if link.state is not None else 0
@@ -125,7 +125,7 @@
         return False
 
     def _apply_latest(self, records: list[bytes]) -> None:
-        """Offer the newest document that can be read, and pass other writers' by."""
+        """Apply the latest valid document; skip records with other keys."""
         for record in reversed(records):
             if self._apply_record(record):
                 return
--- a/azurestep/mesh/knowledge/discovery.py
+++ b/azurestep/mesh/knowledge/discovery.py
@@ -1,7 +1,7 @@
-"""How a node finds the others: through the platform's store, at its start.
+"""Discovery of peers through the platform's store, at the start of a node.
 
-It writes its own address first and reads all addresses afterwards. Of any two
-nodes the one that wrote last sees the other, and its greeting makes both known.
+A node writes its own address before it reads all others. Of any two nodes, the one
+that wrote last finds the other and greets it.
 """
 
 import asyncio
@@ -24,20 +24,20 @@
 from ..runtime import Runtime
 
 RETRY_PAUSES_S = (0.1, 0.3, 0.6, 1.2)
-"""Pauses between attempts while the store does not answer."""
+"""Pauses between attempts while the store does not answer; the last one repeats."""
 EPOCH_STEP_MS = 60_000
-"""Step to a higher epoch, in ms, if a process before this one had a later clock."""
+"""Increase of the epoch when an earlier process had a later clock."""
 
 
 @attrs.define(eq=False)
 class Discovery:
-    """Writes this node's address to the store and reads those of the others.
+    """Writes this node's address to the store and reads those of its peers.
 
     Attributes
     ----------
     epoch : int
-        Start of this process by the time of day in ms, above that of the process
-        before it on the same instance.
+        Start of this process as Unix time in ms; higher than that of an earlier process
+        of the same instance.
     """
 
     runtime: Runtime
@@ -48,7 +48,7 @@
     _sequence: int = 0
 
     async def run(self) -> None:
-        """Write and read once, until both were answered."""
+        """Write the address and read all others, with retries until both succeed."""
         _, port = self.members.own_address
         value = write_member(port)
         attempts = 0
@@ -61,10 +61,10 @@
         self.done = True
 
     async def deregister(self) -> None:
-        """Drop this node's address, which nobody needs to dial any more.
+        """Remove this node's address from the store, in one attempt.
 
-        One attempt: if it is lost, others dial the address in vain. If it is carried
-        out late, the epoch keeps it from dropping what a next process wrote.
+        A delayed write can't remove the address of a later process, whose epoch is
+        higher.
         """
         if self.done:
             self._sequence += 1
