--- a/tests/test_mesh_bodies.py
+++ b/tests/test_mesh_bodies.py
@@ -9,7 +9,7 @@
 from .fixtures_inbound import Beside, Listener, make_beside
 
 BODY = b"u" * 60_000
-FAR_MS = 60_000.0
+LONG_REMAINING_MS = 60_000.0
 """Time to a deadline that is far beyond a node's end."""
 
 
@@ -20,7 +20,7 @@
     return run, listener
 
 
-def test_the_next_body_is_asked_for_as_soon_as_one_came(beside: Beside) -> None:
+def test_next_body_is_requested_as_soon_as_one_arrived(beside: Beside) -> None:
     uploads = [upload(beside) for _ in range(MAX_CONCURRENT_TRANSFERS + 1)]
     beside.loop.run_due()
     assert [listener.asked for _, listener in uploads] == [
@@ -35,7 +35,7 @@
     )
 
 
-def test_what_waits_for_its_turn_is_refused_once_it_is_late(beside: Beside) -> None:
+def test_upload_waiting_for_its_turn_is_refused_once_late(beside: Beside) -> None:
     beside.inbound.admission.learn("read", 200.0)
     for _ in range(MAX_CONCURRENT_TRANSFERS):
         upload(beside)
@@ -47,21 +47,21 @@
     assert len(beside.inbound.admission.running) == MAX_CONCURRENT_TRANSFERS
 
 
-def test_bodies_that_never_come_keep_no_others_waiting(beside: Beside) -> None:
+def test_body_that_never_arrives_does_not_block_others(beside: Beside) -> None:
     silent = [upload(beside, budget_ms=5000.0) for _ in range(MAX_CONCURRENT_TRANSFERS)]
     for run, _ in silent:
         run.proceed()
-    _, sound = upload(beside, budget_ms=5000.0)
+    _, other = upload(beside, budget_ms=5000.0)
     for _ in range(5):
         beside.after(100.0)
-    assert sound.asked == 1
+    assert other.asked == 1
     run, _ = silent[0]
     run.body(BODY, True)
     beside.loop.run_due()
     assert run.may_have_run, "a body that comes late still runs"
 
 
-def test_a_request_whose_body_never_came_has_not_run(beside: Beside) -> None:
+def test_request_whose_body_never_arrived_has_not_run(beside: Beside) -> None:
     beside.inbound.admission.learn("read", 200.0)
     run, silent = upload(beside)
     run.proceed()
@@ -74,20 +74,20 @@
     assert beside.inbound.admission.in_flight == 0
 
 
-def test_an_upload_that_waits_for_its_turn_leaves_a_stopping_node(
+def test_waiting_upload_is_refused_at_shutdown(
     beside: Beside,
 ) -> None:
     beside.inbound.admission.learn("read", 3000.0)
     for _ in range(MAX_CONCURRENT_TRANSFERS):
-        upload(beside, budget_ms=FAR_MS)
-    _, waiting = upload(beside, budget_ms=FAR_MS)
+        upload(beside, budget_ms=LONG_REMAINING_MS)
+    _, waiting = upload(beside, budget_ms=LONG_REMAINING_MS)
     beside.inbound.stop(beside.loop.now_ms + 2000.0)
     beside.loop.run_due()
     assert waiting.outcomes == ["STOPPING"]
 
 
-def test_a_body_that_comes_too_late_is_not_run() -> None:
-    for budget_ms, reason in ((800.0, "TOO_LATE"), (FAR_MS, "STOPPING")):
+def test_request_whose_body_arrives_too_late_is_not_run() -> None:
+    for budget_ms, reason in ((800.0, "TOO_LATE"), (LONG_REMAINING_MS, "STOPPING")):
         beside = make_beside()
         beside.inbound.admission.learn("read", 500.0)
         run, listener = upload(beside, budget_ms)
@@ -102,10 +102,10 @@
         assert beside.inbound.admission.in_flight == 0
 
 
-def test_a_held_request_that_is_let_go_too_late_is_not_run(beside: Beside) -> None:
+def test_request_confirmed_too_late_is_not_run(beside: Beside) -> None:
     beside.inbound.admission.learn("read", 500.0)
     listener = Listener()
-    run = beside.submit(listener, FAR_MS, held=True)
+    run = beside.submit(listener, LONG_REMAINING_MS, held=True)
     beside.inbound.stop(beside.loop.now_ms + 600.0)
     beside.loop.now_ms += 350.0
     run.proceed()
@@ -114,7 +114,7 @@
     assert listener.outcomes == ["STOPPING"]
 
 
-def test_a_held_request_gets_a_free_slot_though_its_route_is_slow(
+def test_confirmed_request_gets_a_free_slot_though_its_route_is_slow(
     beside: Beside,
 ) -> None:
     beside.inbound.admission.learn("read", 5000.0)
@@ -125,7 +125,7 @@
     assert run.may_have_run, "a mean that is too long is only corrected by runs"
 
 
-def test_a_server_hears_of_the_end_of_the_node_beside_it(
+def test_deadline_sent_to_the_server_is_limited_by_the_shutdown(
     beside: Beside, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sent: list[bytes] = []
@@ -133,6 +133,6 @@
         ClientConnection, "send", lambda self, data, sink, whole: sent.append(data)
     )
     beside.inbound.stop(beside.loop.now_ms + 900.0)
-    beside.submit(Listener(), FAR_MS)
+    beside.submit(Listener(), LONG_REMAINING_MS)
     beside.loop.run_due()
     assert b"\r\nDeadline-Milliseconds: 900\r\n" in sent[0]
--- a/tests/test_mesh_containment_callers.py
+++ b/tests/test_mesh_containment_callers.py
@@ -43,7 +43,7 @@
     return name
 
 
-def message(name: str, body: bytes | None = None) -> bytes:
+def encode_request(name: str, body: bytes | None = None) -> bytes:
     lines = [f"{key}: {value}" for key, value in caller_headers(name).items()]
     if body is None:
         lines.insert(0, "GET /read/1 HTTP/1.1")
@@ -53,7 +53,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + (body or b"")
 
 
-async def ask(instance: MeshInstance, data: bytes, most: int) -> list[int]:
+async def send_raw(instance: MeshInstance, data: bytes, most: int) -> list[int]:
     """Send requests on one connection and return the statuses in their order."""
     reader, writer = await asyncio.open_connection(instance.host, CALLER_PORT)
     writer.write(data)
@@ -68,7 +68,7 @@
     return found
 
 
-def all_faults(mesh: MeshFleet) -> int:
+def count_all_faults(mesh: MeshFleet) -> int:
     return sum(map(faults, mesh.instances))
 
 
@@ -76,7 +76,7 @@
     ("method", "owner"),
     [("identify_attempt", (CallContext, of_attempt)), ("on_end", (Call, of_call))],
 )
-async def test_the_other_requests_of_a_connection_are_answered_in_order(
+async def test_internal_error_keeps_the_other_answers_of_a_connection_in_order(
     mesh: MeshFleet,
     mesh_lines: MeshLines,
     monkeypatch: pytest.MonkeyPatch,
@@ -85,25 +85,25 @@
 ) -> None:
     breaks(monkeypatch, owner[0], method, owner[1])
     names = ["a", FAULTY.decode(), "b", "c"]
-    data = b"".join(message(name) for name in names)
-    assert await ask(mesh.instances[0], data, 4) == [200, 502, 200, 200]
-    (told,) = mesh_lines.of(9010, events.HANDLER_FAILED.number)
-    assert method in told["traceback"]
+    data = b"".join(encode_request(name) for name in names)
+    assert await send_raw(mesh.instances[0], data, 4) == [200, 502, 200, 200]
+    (line,) = mesh_lines.of(9010, events.HANDLER_FAILED.number)
+    assert method in line["traceback"]
     assert faults(mesh.instances[0]) == 1
 
 
-async def test_a_fault_in_a_body_leaves_the_answers_before_it(
+async def test_internal_error_in_handling_a_body_keeps_earlier_answers(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 0.1
     breaks(monkeypatch, Call, "on_body", of_call)
-    data = message("a") + message(FAULTY.decode(), b"x" * 100)
-    assert await ask(mesh.instances[0], data, 2) == [200, 502]
+    data = encode_request("a") + encode_request(FAULTY.decode(), b"x" * 100)
+    assert await send_raw(mesh.instances[0], data, 2) == [200, 502]
     assert len(mesh_lines.of(9010)) == 1
 
 
-async def test_a_caller_who_left_ends_all_requests_of_its_connection(
+async def test_disconnect_cancels_all_requests_despite_an_internal_error(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for instance in mesh.instances:
@@ -111,7 +111,7 @@
     breaks(monkeypatch, Call, "on_disconnect", of_call)
     reader, writer = await asyncio.open_connection(mesh.instances[0].host, CALLER_PORT)
     names = ["a", FAULTY.decode(), "b", "c"]
-    writer.write(b"".join(message(name) for name in names))
+    writer.write(b"".join(encode_request(name) for name in names))
 
     def running() -> int:
         return sum(instance.server.running for instance in mesh.instances)
@@ -122,7 +122,7 @@
     assert len(mesh_lines.of(9010)) == 1
 
 
-async def test_a_fault_at_the_deadline_is_answered(
+async def test_internal_error_at_the_deadline_is_answered(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for instance in mesh.instances:
@@ -135,11 +135,11 @@
     async with asyncio.timeout(1.0):
         answers = await asyncio.gather(*calls)
     assert [status for status, _ in answers] == [502, 504]
-    (told,) = mesh_lines.of(9010)
-    assert told["id"] == FAULTY.decode()
+    (line,) = mesh_lines.of(9010)
+    assert line["id"] == FAULTY.decode()
 
 
-async def test_a_fault_in_taking_an_answer_fails_its_request(
+async def test_internal_error_in_handling_an_answer_fails_its_request_only(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     breaks(monkeypatch, Run, "on_complete", of_run)
@@ -149,12 +149,12 @@
             *(mesh.get(mesh.instances[0], "/pay/1", name) for name in names)
         )
     assert [status for status, _ in answers] == [200, 502, 200]
-    (told,) = mesh_lines.of(9010)
-    assert "on_complete" in told["traceback"]
-    assert all_faults(mesh) == 1
+    (line,) = mesh_lines.of(9010)
+    assert "on_complete" in line["traceback"]
+    assert count_all_faults(mesh) == 1
 
 
-async def test_a_fault_beside_the_own_server_fails_its_request(
+async def test_internal_error_at_the_local_server_fails_its_request_only(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     caller = mesh.instances[0]
@@ -172,7 +172,7 @@
     assert not caller.node.inbound.busy
 
 
-async def test_a_fault_in_an_announcement_is_answered(
+async def test_internal_error_in_an_announcement_is_answered(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     instance = mesh.instances[0]
@@ -180,8 +180,8 @@
         patch.setattr(Backend, "apply_heartbeat", fail)
         assert await instance.beat(mesh.session) == 500
     assert await instance.beat(mesh.session) == 200
-    (told,) = mesh_lines.of(9010)
-    assert (told["place"], faults(instance)) == ("endpoint", 1)
+    (line,) = mesh_lines.of(9010)
+    assert (line["place"], faults(instance)) == ("endpoint", 1)
 
 
 def fail(*_: object, **__: object) -> None:
@@ -202,7 +202,7 @@
         (ReturningCallers, "expire"),
     ],
 )
-async def test_a_node_goes_on_when_a_part_of_its_tick_fails(
+async def test_tick_continues_when_one_step_fails(
     mesh: MeshFleet,
     mesh_lines: MeshLines,
     monkeypatch: pytest.MonkeyPatch,
@@ -214,62 +214,62 @@
         await eventually(lambda: all(map(faults, mesh.instances)))
         assert (await mesh.get(mesh.instances[0], "/read/1", "r1"))[0] == 200
     assert all(item.task and not item.task.done() for item in mesh.instances)
-    told = mesh_lines.of(9010)
-    assert {line["place"] for line in told} == {"tick"}
+    lines = mesh_lines.of(9010)
+    assert {line["place"] for line in lines} == {"tick"}
 
 
-async def test_a_link_that_fails_leaves_the_others_looked_after(
+async def test_internal_error_in_one_link_does_not_stop_the_others(
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first, *_ = mesh.instances
-    sound, looked_after = PeerLink.tick, set()
+    original, ticked = PeerLink.tick, set()
     broken = next(iter(first.node.members.links))
 
     def tick(link: PeerLink, now_ms: float) -> None:
         if link.address == broken:
             raise KeyError("a fault of our own")
-        looked_after.add(link.address)
-        sound(link, now_ms)
+        ticked.add(link.address)
+        original(link, now_ms)
 
     with monkeypatch.context() as patch:
         patch.setattr(PeerLink, "tick", tick)
         await eventually(lambda: faults(first) > 0)
         await asyncio.sleep(0.1)
-    assert set(first.node.members.links) - {broken} <= looked_after
+    assert set(first.node.members.links) - {broken} <= ticked
 
 
-async def test_what_nothing_else_caught_is_told(
+async def test_uncaught_error_of_the_loop_is_logged(
     mesh: MeshFleet, mesh_lines: MeshLines
 ) -> None:
     loop = asyncio.get_running_loop()
     loop.call_soon(fail)
     await asyncio.sleep(0.05)
-    (told,) = mesh_lines.of(9010)
-    assert told["place"] == "loop"
-    assert all_faults(mesh) == 1
+    (line,) = mesh_lines.of(9010)
+    assert line["place"] == "loop"
+    assert count_all_faults(mesh) == 1
 
 
-async def test_an_error_of_the_network_is_no_fault(
+async def test_network_error_does_not_count_as_a_fault(
     mesh: MeshFleet, mesh_lines: MeshLines
 ) -> None:
     asyncio.get_running_loop().call_exception_handler(
         {"message": "write failed", "exception": TimeoutError("no route")}
     )
     assert mesh_lines.of(9010) == []
-    assert all_faults(mesh) == 0
+    assert count_all_faults(mesh) == 0
 
 
-async def test_an_answer_that_can_not_be_written_keeps_its_place(
+async def test_answer_that_can_not_be_written_is_replaced_in_its_place(
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sound = AnswerWriter.write_whole
+    original = AnswerWriter.write_whole
 
     def write_whole(self: AnswerWriter, answer: Answer) -> None:
         if (b"Attempt-Id", FAULTY) in self._exchange.headers:
             answer = attrs.evolve(answer, headers=[(b"X", None)])
-        sound(self, answer)
+        original(self, answer)
 
     monkeypatch.setattr(AnswerWriter, "write_whole", write_whole)
     names = ["a", FAULTY.decode(), "b"]
-    data = b"".join(message(name) for name in names)
-    assert await ask(mesh.instances[0], data, 3) == [200, 502, 200]
+    data = b"".join(encode_request(name) for name in names)
+    assert await send_raw(mesh.instances[0], data, 3) == [200, 502, 200]
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from azurestep.mesh.links import decoding
-from azurestep.mesh.links.connection import HANDLERS as OF_CONNECTION
+from azurestep.mesh.links.connection import HANDLERS as CONNECTION_HANDLERS
 from azurestep.mesh.links.connection import PeerConnection, RemoteStream
 from azurestep.mesh.links.decoding import OF_CALLED_NODES, OF_CALLING_NODES, Decoder
-from azurestep.mesh.links.incoming import HANDLERS as OF_SERVER
+from azurestep.mesh.links.incoming import HANDLERS as INCOMING_HANDLERS
 from azurestep.mesh.links.incoming import IncomingLink
 from azurestep.mesh.messages import (
     PROTOCOL_VERSION,
@@ -37,7 +37,7 @@
 STATE = State("shop", b"i-1", 9, True, 4, 2, 0.5, 3, True, False, 0.0, (("read", 4),))
 ANSWER = Answer(200, [(b"a", b"b")], True, 1, True, b"x", 0, 5.0)
 CRASHES = [[7, [["10.0.0.1", 80, 3]], 5.0]]
-GOOD: dict[Kind, list[Any]] = {
+VALID_FIELDS: dict[Kind, list[Any]] = {
     Kind.HELLO: fields_of(HELLO),
     Kind.STATE: fields_of(STATE),
     Kind.PING: [5.0],
@@ -75,7 +75,7 @@
 )
 
 
-class Wire:
+class FakeTransport:
     """Stands in for a connection."""
 
     def __init__(self) -> None:
@@ -91,7 +91,7 @@
         self.aborted = True
 
 
-class End:
+class RecordingEnd:
     """One end of a link whose handlers only note what reaches them."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, called: bool) -> None:
@@ -101,16 +101,16 @@
         self.inbound = None
         self.connection = None
         self.called = called
-        table = OF_SERVER if called else OF_CONNECTION
+        table = INCOMING_HANDLERS if called else CONNECTION_HANDLERS
         for kind in table:
-            monkeypatch.setitem(table, kind, self._note)
+            monkeypatch.setitem(table, kind, self._record)
 
-    def _note(self, end: object, stream: object, message: Any) -> None:
+    def _record(self, end: object, stream: object, message: Any) -> None:
         self.handled.append(message)
 
-    def receive(self, *pieces: bytes) -> Wire:
+    def receive(self, *pieces: bytes) -> FakeTransport:
         """Take bytes on a new link."""
-        wire = Wire()
+        transport = FakeTransport()
         end: Any
         if self.called:
             end = IncomingLink(self)  # type: ignore[arg-type]
@@ -118,17 +118,17 @@
             end = PeerConnection(self)  # type: ignore[arg-type]
             stream = RemoteStream(end, STREAM, self, True, True)  # type: ignore[arg-type]
             end.streams = {number: stream for number in range(8)}
-        end._transport = wire
+        end._transport = transport
         self.handled.clear()
         for piece in pieces:
             end.data_received(piece)
-        return wire
+        return transport
 
 
 @pytest.fixture(scope="module", params=[True, False], ids=["called", "calling"])
-def end(request: pytest.FixtureRequest) -> typing.Iterator[End]:
+def end(request: pytest.FixtureRequest) -> typing.Iterator[RecordingEnd]:
     with pytest.MonkeyPatch.context() as monkeypatch:
-        yield End(monkeypatch, request.param)
+        yield RecordingEnd(monkeypatch, request.param)
 
 
 def is_typed(value: object, kind: Any) -> bool:
@@ -154,74 +154,78 @@
     return all(is_typed(getattr(message, one.name), one.type) for one in fields)
 
 
-def check(end: End, *pieces: bytes) -> Wire:
-    wire = end.receive(*pieces)
+def check(end: RecordingEnd, *pieces: bytes) -> FakeTransport:
+    transport = end.receive(*pieces)
     assert all(map(fields_are_typed, end.handled)), end.handled
     assert not end.runtime.metrics.counters
-    return wire
+    return transport
 
 
-def link_still_serves(end: End) -> None:
+def link_still_serves(end: RecordingEnd) -> None:
     kind = Kind.CREDIT
-    wire = check(end, encode(kind, *GOOD[kind]))
+    transport = check(end, encode(kind, *VALID_FIELDS[kind]))
     assert len(end.handled) == 1
-    assert not wire.aborted
+    assert not transport.aborted
 
 
 @given(st.lists(st.binary(max_size=60), max_size=4))
-def test_no_bytes_reach_a_handler_untyped(end: End, pieces: list[bytes]) -> None:
+def test_no_bytes_reach_a_handler_unvalidated(
+    end: RecordingEnd, pieces: list[bytes]
+) -> None:
     check(end, *pieces)
     link_still_serves(end)
 
 
 @given(st.integers(-2, 30) | LEAVES, st.lists(VALUES, max_size=22))
-def test_no_message_reaches_a_handler_untyped(
-    end: End, kind: object, fields: list[Any]
+def test_no_message_reaches_a_handler_unvalidated(
+    end: RecordingEnd, kind: object, fields: list[Any]
 ) -> None:
     check(end, msgpack.packb([kind, *fields], use_bin_type=True))
     link_still_serves(end)
 
 
-@given(st.sampled_from(sorted(GOOD)), st.data())
-def test_no_message_with_one_field_changed_reaches_a_handler_untyped(
-    end: End, kind: Kind, data: st.DataObject
+@given(st.sampled_from(sorted(VALID_FIELDS)), st.data())
+def test_no_message_with_one_field_changed_reaches_a_handler_unvalidated(
+    end: RecordingEnd, kind: Kind, data: st.DataObject
 ) -> None:
-    fields = list(GOOD[kind])
+    fields = list(VALID_FIELDS[kind])
     if fields:
         fields[data.draw(st.integers(0, len(fields) - 1))] = data.draw(VALUES)
     check(end, msgpack.packb([int(kind), *fields], use_bin_type=True))
     link_still_serves(end)
 
 
-@given(st.lists(st.sampled_from(sorted(GOOD)), max_size=6), st.data())
-def test_messages_come_out_whole_wherever_their_bytes_are_cut(
-    end: End, kinds: list[Kind], data: st.DataObject
+@given(st.lists(st.sampled_from(sorted(VALID_FIELDS)), max_size=6), st.data())
+def test_messages_are_decoded_wherever_their_bytes_are_split(
+    end: RecordingEnd, kinds: list[Kind], data: st.DataObject
 ) -> None:
-    taken = OF_CALLING_NODES if end.called else OF_CALLED_NODES
-    text = b"".join(encode(kind, *GOOD[kind]) for kind in kinds)
+    accepted = OF_CALLING_NODES if end.called else OF_CALLED_NODES
+    text = b"".join(encode(kind, *VALID_FIELDS[kind]) for kind in kinds)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=4)))
     edges = [0, *cuts, len(text)]
     pieces = [text[a:b] for a, b in zip(edges, edges[1:], strict=False)]
     assert not check(end, *pieces).aborted
-    assert len(end.handled) == sum(kind in taken for kind in kinds)
+    assert len(end.handled) == sum(kind in accepted for kind in kinds)
 
 
-def test_every_kind_of_message_has_a_handler_and_a_shape() -> None:
-    assert set(OF_CALLING_NODES) | set(OF_CALLED_NODES) == set(Kind) == set(GOOD)
-    made = {*OF_SERVER, *OF_CONNECTION}
+def test_every_kind_of_message_has_a_handler_and_a_schema() -> None:
+    assert (
+        set(OF_CALLING_NODES) | set(OF_CALLED_NODES) == set(Kind) == set(VALID_FIELDS)
+    )
+    made = {*INCOMING_HANDLERS, *CONNECTION_HANDLERS}
     assert isinstance(decoding.Message, types.UnionType)
     assert made == set(typing.get_args(decoding.Message))
 
 
-def test_messages_before_one_that_can_not_be_read_are_handled(end: End) -> None:
-    credit = encode(Kind.CREDIT, *GOOD[Kind.CREDIT])
-    wire = check(end, credit + credit + b"\xc1" + credit, credit)
-    assert wire.aborted
+def test_messages_before_a_malformed_one_are_handled(end: RecordingEnd) -> None:
+    credit = encode(Kind.CREDIT, *VALID_FIELDS[Kind.CREDIT])
+    transport = check(end, credit + credit + b"\xc1" + credit, credit)
+    assert transport.aborted
     assert len(end.handled) == 2
 
 
 @pytest.mark.parametrize("reason", [0, 99])
-def test_an_unknown_reason_can_not_be_read(reason: int) -> None:
+def test_unknown_reason_is_rejected(reason: int) -> None:
     decoder = Decoder(OF_CALLED_NODES)
     assert decoder.feed(encode(Kind.FAILURE, STREAM, reason, 0)) == []
     assert decoder.fault
@@ -230,26 +234,26 @@
     assert found == [(STREAM, Failure(Reason.RESET, 0))]
 
 
-def test_a_greeting_of_a_newer_program_may_have_more_fields() -> None:
+def test_greeting_of_a_newer_version_may_have_more_fields() -> None:
     decoder = Decoder(OF_CALLED_NODES)
     (found,) = decoder.feed(encode(Kind.HELLO, *fields_of(HELLO), "more"))
     assert found == (decoding.NO_STREAM, HELLO)
 
 
-def test_another_format_can_not_be_read() -> None:
+def test_other_protocol_version_is_rejected() -> None:
     decoder = Decoder(OF_CALLED_NODES)
     other = attrs.evolve(HELLO, format=PROTOCOL_VERSION + 1)
     assert decoder.feed(encode(Kind.HELLO, *fields_of(other))) == []
     assert "format" in decoder.fault
 
 
-def test_kinds_of_a_newer_program_are_passed_by() -> None:
+def test_unknown_kinds_are_skipped() -> None:
     decoder = Decoder(OF_CALLING_NODES)
     assert decoder.feed(msgpack.packb([99, {"a": 1}]) + encode(Kind.PROCEED, 7))
     assert not decoder.fault
 
 
-def test_room_is_not_taken_for_items_that_never_come() -> None:
+def test_no_memory_is_allocated_for_items_that_never_arrive() -> None:
     decoder = Decoder(OF_CALLING_NODES)
     assert decoder.feed(b"\xdd\x05\xff\xff\xff") == []
     assert decoder.fault
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -21,10 +21,10 @@
 from .test_mesh_refusals import only, read
 
 
-def speak_again(instance: MeshInstance) -> None:
+def restore_answers(instance: MeshInstance) -> None:
     """Let a silenced node's answers through again."""
-    for server in list(instance.node.incoming_links.links):
-        vars(server).pop("write", None)
+    for link in list(instance.node.incoming_links.links):
+        vars(link).pop("write", None)
 
 
 async def reopen(mesh: MeshFleet, instance: MeshInstance) -> None:
@@ -39,7 +39,7 @@
     )
 
 
-async def run_at_one(mesh: MeshFleet, work_s: float = 1.0) -> asyncio.Task[int]:
+async def start_run_at_first(mesh: MeshFleet, work_s: float = 1.0) -> asyncio.Task[int]:
     """Begin a read that runs at the first instance, then open the second one too."""
     serving, other, asking = mesh.instances
     await only(mesh, serving)
@@ -67,49 +67,49 @@
 
 
 @pytest.mark.parametrize("misbehave", [refuse, drop, error])
-async def test_the_first_run_s_answer_counts_where_the_second_server_has_none(
+async def test_earlier_run_answers_if_the_second_server_does_not(
     mesh: MeshFleet, misbehave
 ) -> None:  # type: ignore[no-untyped-def]
     serving, other, _ = mesh.instances
     other.server.misbehave = misbehave
-    task = await run_at_one(mesh)
+    task = await start_run_at_first(mesh)
     silence(serving)
     await eventually(lambda: other.server.runs["m1"] == 1, 0.6)
-    speak_again(serving)
+    restore_answers(serving)
     assert await task == 200
     assert serving.server.runs["m1"] == 1
     assert serving.server.cancelled == 0
 
 
-async def test_the_first_answer_counts_and_the_other_run_is_cancelled(
+async def test_later_run_is_cancelled_once_the_earlier_one_answers(
     mesh: MeshFleet,
 ) -> None:
     serving, other, _ = mesh.instances
     other.server.work_s = 1.0
-    task = await run_at_one(mesh, work_s=0.6)
+    task = await start_run_at_first(mesh, work_s=0.6)
     silence(serving)
     await eventually(lambda: other.server.runs["m1"] == 1, 0.6)
-    speak_again(serving)
+    restore_answers(serving)
     assert await task == 200
     await eventually(lambda: other.server.cancelled == 1, 0.3)
 
 
-async def test_the_first_run_is_cancelled_once_the_second_one_has_answered(
+async def test_earlier_run_is_cancelled_once_the_later_one_answers(
     mesh: MeshFleet,
 ) -> None:
     serving, other, _ = mesh.instances
     other.server.work_s = 0.1
-    task = await run_at_one(mesh, work_s=1.1)
+    task = await start_run_at_first(mesh, work_s=1.1)
     silence(serving)
     assert await task == 200
     assert other.server.runs["m1"] == 1
     await eventually(lambda: serving.server.cancelled == 1, 0.3)
 
 
-async def test_a_caller_who_leaves_stops_both_runs(mesh: MeshFleet) -> None:
+async def test_disconnect_cancels_both_runs(mesh: MeshFleet) -> None:
     serving, other, _ = mesh.instances
     other.server.work_s = 1.0
-    task = await run_at_one(mesh)
+    task = await start_run_at_first(mesh)
     silence(serving)
     await eventually(lambda: other.server.runs["m1"] == 1, 0.6)
     task.cancel()
@@ -118,7 +118,7 @@
     )
 
 
-async def test_a_silent_connection_is_closed_once_nothing_waits_on_it(
+async def test_retired_connection_is_closed_once_nothing_waits_on_it(
     mesh: MeshFleet,
 ) -> None:
     serving, _, asking = mesh.instances
@@ -131,36 +131,38 @@
     await eventually(lambda: serving.server.runs["c1"] == 1)
     silence(serving)
     await eventually(lambda: link.connection is not silent, 1.0)
-    speak_again(serving)
+    restore_answers(serving)
     assert await task == 200
     await eventually(silent._transport.is_closing, 0.3)
 
 
-async def test_a_request_that_came_back_to_its_first_run_may_run_once_more(
+async def test_request_that_resumed_its_earlier_run_may_be_retried_again(
     mesh: MeshFleet,
 ) -> None:
     serving, other, asking = mesh.instances
     other.node.inbound.admission.drain_deadline_ms = 0.0
-    task = await run_at_one(mesh)
+    task = await start_run_at_first(mesh)
     silence(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
     asking.server.instance_id += "b"
     await asking.beat(mesh.session)
     await eventually(lambda: asking.node.inbound.open, 0.3)
-    for server in list(serving.node.incoming_links.links):
-        server.abort()
+    for link in list(serving.node.incoming_links.links):
+        link.abort()
     assert await task == 200
     assert other.server.runs["m1"] == 0
     assert asking.server.runs["m1"] == 1
 
 
-async def test_a_request_that_ran_nowhere_after_a_doubt_is_refused_as_such(
+async def test_request_that_ran_nowhere_is_refused_after_its_peer_was_unresponsive(
     mesh: MeshFleet,
 ) -> None:
     serving, other, asking = mesh.instances
     await only(mesh, serving)
     serving.server.work_s = 0.9
-    held = [asyncio.create_task(read(mesh, serving, f"h{index}")) for index in range(4)]
+    running = [
+        asyncio.create_task(read(mesh, serving, f"h{index}")) for index in range(4)
+    ]
     await eventually(lambda: serving.server.running == 4)
     task = asyncio.create_task(read(mesh, asking, "n1"))
     await eventually(lambda: serving.node.inbound.admission.in_flight == 5)
@@ -168,8 +170,8 @@
     await reopen(mesh, other)
     silence(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
-    speak_again(serving)
+    restore_answers(serving)
     serving.node.inbound.stop(0.0)
     assert await task == 503
     assert serving.server.runs["n1"] == other.server.runs["n1"] == 0
-    assert await asyncio.gather(*held) == [200] * 4
+    assert await asyncio.gather(*running) == [200] * 4
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -27,7 +27,7 @@
             await asyncio.sleep(0.01)
 
 
-async def test_a_leaving_server_gets_nothing_and_nothing_is_lost(
+async def test_leaving_server_gets_no_requests_and_none_fail(
     mesh: MeshFleet,
 ) -> None:
     leaving = mesh.instances[0]
@@ -40,14 +40,14 @@
     assert len(leaving.server.received) == before
 
 
-async def test_a_payment_on_a_dying_server_runs_once(mesh: MeshFleet) -> None:
+async def test_payment_at_a_crashing_server_runs_once(mesh: MeshFleet) -> None:
     for instance in mesh.instances:
         instance.server.misbehave = lambda received: None
     assert await pay(mesh, mesh.instances[0], "k1") == 502
     assert sum(item.server.runs["k1"] for item in mesh.instances) == 1
 
 
-async def test_a_read_on_a_dying_server_is_tried_elsewhere_within_its_attempts(
+async def test_read_at_a_crashing_server_is_retried_within_its_attempts(
     mesh: MeshFleet,
 ) -> None:
     mesh.instances[0].server.misbehave = lambda received: None
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("misbehave", [cut_short, unsigned])
-async def test_a_spoiled_answer_never_looks_whole(mesh: MeshFleet, misbehave) -> None:  # type: ignore[no-untyped-def]
+async def test_malformed_answer_never_looks_whole(mesh: MeshFleet, misbehave) -> None:  # type: ignore[no-untyped-def]
     for instance in mesh.instances:
         instance.server.misbehave = misbehave
     status, body = await mesh.get(mesh.instances[0], "/read/1", "u1", 600)
@@ -97,14 +97,14 @@
     assert body == b""
 
 
-async def test_a_new_version_is_in_force_everywhere(mesh: MeshFleet) -> None:
+async def test_new_version_is_applied_at_all_nodes(mesh: MeshFleet) -> None:
     mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, document(8))
     await eventually(
         lambda: all(item.node.configuration.version == 8 for item in mesh.instances), 1
     )
 
 
-async def test_a_version_arrives_when_the_reader_died(mesh: MeshFleet) -> None:
+async def test_new_version_arrives_after_the_reader_crashed(mesh: MeshFleet) -> None:
     reader = min(mesh.instances, key=lambda item: item.host)
     assert reader.task is not None
     reader.task.cancel()
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("trouble", [Trouble.BUSY, Trouble.RESET, Trouble.SILENT])
-async def test_reads_and_payments_go_on_while_the_store_is_away(
+async def test_requests_are_served_while_the_store_is_unavailable(
     mesh: MeshFleet, trouble: Trouble
 ) -> None:
     mesh.store.trouble = trouble
@@ -126,7 +126,7 @@
     assert await pay(mesh, mesh.instances[1], "s2") == 200
 
 
-async def test_a_node_that_starts_without_the_store_learns_from_its_peers(
+async def test_node_started_without_the_store_gets_the_configuration_from_peers(
     mesh: MeshFleet,
 ) -> None:
     mesh.store.trouble = Trouble.BUSY
@@ -144,7 +144,7 @@
     assert (await mesh.get(instance, "/read/1", "w1"))[0] == 200
 
 
-async def test_a_caller_who_leaves_stops_the_run(mesh: MeshFleet) -> None:
+async def test_disconnect_cancels_the_run(mesh: MeshFleet) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 1.0
     reader, writer = await asyncio.open_connection(mesh.instances[0].host, 7101)
@@ -157,7 +157,7 @@
     )
 
 
-async def test_a_read_past_its_timeout_is_answered(mesh: MeshFleet) -> None:
+async def test_read_past_its_timeout_is_answered(mesh: MeshFleet) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 3.0
     loop = asyncio.get_running_loop()
@@ -167,7 +167,7 @@
     assert 1.1 < loop.time() - began < 1.6
 
 
-async def test_a_stopping_node_finishes_what_is_under_way(mesh: MeshFleet) -> None:
+async def test_shutdown_completes_requests_in_flight(mesh: MeshFleet) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 0.4
     instance = mesh.instances[0]
@@ -183,12 +183,12 @@
 
 def silence(instance: MeshInstance) -> None:
     """Let a node's answers to other nodes get lost; it still receives."""
-    for server in list(instance.node.incoming_links.links):
-        server.write = lambda data: None  # type: ignore[method-assign]
+    for link in list(instance.node.incoming_links.links):
+        link.write = lambda data: None  # type: ignore[method-assign]
 
 
-async def test_payments_survive_a_link_that_is_cut_one_way(mesh: MeshFleet) -> None:
-    caller, silent, sound = mesh.instances
+async def test_payments_succeed_despite_a_one_way_partition(mesh: MeshFleet) -> None:
+    caller, silent, healthy = mesh.instances
     await caller.beat(mesh.session, "draining")
     await asyncio.sleep(0.05)
     silence(silent)
@@ -201,7 +201,9 @@
         assert runs == [0, 0, 1]
 
 
-async def test_reads_leave_a_silent_node_before_their_aim(mesh: MeshFleet) -> None:
+async def test_reads_leave_a_silent_node_before_their_objective(
+    mesh: MeshFleet,
+) -> None:
     caller, silent, _ = mesh.instances
     await caller.beat(mesh.session, "draining")
     await asyncio.sleep(0.05)
@@ -215,7 +217,9 @@
     assert loop.time() - began < 0.45
 
 
-async def press(mesh: MeshFleet, instance: MeshInstance, name: str) -> set[int]:
+async def send_until_closed(
+    mesh: MeshFleet, instance: MeshInstance, name: str
+) -> set[int]:
     """Send one request after the other until the node takes no connections."""
     statuses = set()
     with contextlib.suppress(ClientConnectorError):
@@ -225,14 +229,15 @@
     return statuses
 
 
-async def test_a_stopping_node_ends_under_load_and_cuts_nothing(
+async def test_shutdown_under_load_cuts_no_request(
     mesh: MeshFleet,
 ) -> None:
     for item in mesh.instances:
         item.server.work_s = 0.2
     instance = mesh.instances[0]
     callers = [
-        asyncio.create_task(press(mesh, instance, f"w{index}")) for index in range(3)
+        asyncio.create_task(send_until_closed(mesh, instance, f"w{index}"))
+        for index in range(3)
     ]
     instance.node.stop()
     assert instance.task is not None
--- a/tests/test_mesh_leaving_callers.py
+++ b/tests/test_mesh_leaving_callers.py
@@ -23,7 +23,7 @@
 """A run time that leaves no waiting read of this file the time to run."""
 
 
-async def ask(instance: MeshInstance, name: str) -> asyncio.StreamWriter:
+async def send_read(instance: MeshInstance, name: str) -> asyncio.StreamWriter:
     """Send a read whose caller can leave."""
     _, writer = await asyncio.open_connection(instance.host, CALLER_PORT)
     head = "\r\n".join(f"{k}: {v}" for k, v in caller_headers(name).items())
@@ -31,14 +31,16 @@
     return writer
 
 
-def learn_long(instance: MeshInstance) -> None:
+def set_long_run_time(instance: MeshInstance) -> None:
     """Let a node know that reads take long here."""
     admission = instance.node.inbound.admission
     admission.forget()
     admission.learn("read", LONG_MS)
 
 
-async def test_a_caller_who_leaves_the_queue_cuts_nobody_else(mesh: MeshFleet) -> None:
+async def test_disconnect_of_a_waiting_caller_affects_no_other_request(
+    mesh: MeshFleet,
+) -> None:
     serving, asked = mesh.instances[:2]
     await only(mesh, serving)
     serving.server.work_s = 0.5
@@ -47,9 +49,9 @@
     names = [f"stays-{index}" for index in range(slots)]
     reads = [asyncio.create_task(read(mesh, asked, name)) for name in names]
     await eventually(lambda: serving.server.running == slots)
-    writer = await ask(asked, "leaves")
+    writer = await send_read(asked, "leaves")
     await eventually(lambda: admission.in_flight == slots + 1)
-    learn_long(serving)
+    set_long_run_time(serving)
     writer.close()
     assert await asyncio.gather(*reads) == [200] * slots
     assert [serving.server.runs[name] for name in names] == [1] * slots
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -7,7 +7,7 @@
 from .fixtures_mesh import MeshFleet, caller_headers
 
 
-async def test_read_is_answered_whole(mesh: MeshFleet) -> None:
+async def test_read_is_answered_completely(mesh: MeshFleet) -> None:
     for index in range(20):
         status, body = await mesh.get(mesh.instances[0], "/read/1", f"r{index}")
         assert (status, body) == (200, b"hello")
@@ -28,7 +28,7 @@
     assert status == 404
 
 
-async def test_backend_server_learns_the_calling_service(mesh: MeshFleet) -> None:
+async def test_backend_server_receives_the_calling_service(mesh: MeshFleet) -> None:
     await mesh.get(mesh.instances[0], "/read/1", "c1")
     received = next(
         item
@@ -40,7 +40,7 @@
     assert 0 < int(received.headers["deadline-milliseconds"]) <= 1200
 
 
-async def test_requests_of_one_connection_run_side_by_side(mesh: MeshFleet) -> None:
+async def test_requests_of_one_connection_run_concurrently(mesh: MeshFleet) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 0.15
     reader, writer = await asyncio.open_connection(mesh.instances[0].host, 7101)
@@ -69,18 +69,18 @@
     assert {status for status, _ in answers} <= {200, 503}
 
 
-class SpareUrgent(LoadShedder):
+class LowPriorityShedder(LoadShedder):
     """Sheds all but the most urgent requests, whatever nodes report."""
 
     def shed_ratio(self, service: str, priority: int) -> float:
         return float(priority > 1)
 
 
-async def test_a_request_is_shed_at_the_first_node_and_told_when_to_come_back(
+async def test_shed_request_is_refused_with_retry_after(
     mesh: MeshFleet,
 ) -> None:
     node = mesh.instances[0].node
-    node.outbound.load_shedder = SpareUrgent()
+    node.outbound.load_shedder = LowPriorityShedder()
     url = mesh.instances[0].url("/read/1")
     async with mesh.session.get(url, headers=caller_headers("l1")) as answer:
         assert answer.status == 503
@@ -91,7 +91,7 @@
     assert sum(item.server.runs["l1"] for item in mesh.instances) == 0
 
 
-async def test_a_refusal_by_all_backend_servers_counts_as_one_for_want_of_room(
+async def test_refusal_by_all_backend_servers_is_reported_as_lack_of_capacity(
     mesh: MeshFleet,
 ) -> None:
     for instance in mesh.instances:
@@ -101,6 +101,6 @@
     answers = await asyncio.gather(*calls)
     refused = [status for status, _ in answers].count(503)
     assert refused >= 20
-    (told,) = node.calls.refusals.report()
-    assert told[:2] == ("shop", 2)
-    assert told[2] > 0.2
+    (report,) = node.calls.refusals.report()
+    assert report[:2] == ("shop", 2)
+    assert report[2] > 0.2
--- a/tests/test_mesh_refusals.py
+++ b/tests/test_mesh_refusals.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("asked", [0, 1])
-async def test_what_waits_at_its_timeout_is_refused_and_what_runs_fails(
+async def test_waiting_reads_are_refused_and_running_ones_fail_at_their_timeout(
     mesh: MeshFleet, asked: int
 ) -> None:
     serving = mesh.instances[0]
@@ -38,7 +38,7 @@
     assert statuses.count(504) == serving.server.slots
 
 
-async def test_payments_that_wait_at_their_timeout_are_refused(
+async def test_waiting_payments_are_refused_at_their_timeout(
     mesh: MeshFleet,
 ) -> None:
     serving = mesh.instances[0]
@@ -54,7 +54,7 @@
     assert sum(serving.server.runs[name] for name in names) == statuses.count(504)
 
 
-async def test_a_node_that_does_not_say_whether_it_ran_is_not_waited_for(
+async def test_withdrawal_from_a_silent_peer_times_out(
     mesh: MeshFleet,
 ) -> None:
     serving = mesh.instances[0]
@@ -81,7 +81,7 @@
         assert (status == 503) == (serving.server.runs[name] == 0)
 
 
-async def test_a_run_is_not_given_up_for_a_silent_link_without_another_way(
+async def test_run_on_a_silent_link_is_kept_without_an_alternative(
     mesh: MeshFleet,
 ) -> None:
     serving = mesh.instances[0]
@@ -91,7 +91,7 @@
     await eventually(lambda: serving.server.runs["g1"] == 1)
     silence(serving)
     await asyncio.sleep(0.85)
-    for server in list(serving.node.incoming_links.links):
-        vars(server).pop("write", None)
+    for link in list(serving.node.incoming_links.links):
+        vars(link).pop("write", None)
     assert await task == 200
     assert serving.server.runs["g1"] == 1
--- a/tests/test_mesh_restart.py
+++ b/tests/test_mesh_restart.py
@@ -24,7 +24,7 @@
     await instance.node.listening.wait()
 
 
-async def test_its_backend_server_is_used_before_the_next_heartbeat(
+async def test_backend_server_is_used_before_its_next_heartbeat(
     mesh: MeshFleet,
 ) -> None:
     instance = mesh.instances[0]
@@ -36,7 +36,7 @@
     assert (backend.instance_id, backend.service, backend.slots) == ("i-1", "shop", 4)
 
 
-async def test_a_backend_server_that_says_no_is_not_used(mesh: MeshFleet) -> None:
+async def test_unhealthy_backend_server_is_not_used(mesh: MeshFleet) -> None:
     instance = mesh.instances[0]
     instance.server.healthy = False
     await restart(mesh, instance)
@@ -44,7 +44,7 @@
     assert not instance.node.inbound.open
 
 
-def test_a_heartbeat_corrects_what_a_probe_found() -> None:
+def test_heartbeat_overrides_a_probe() -> None:
     backend = Backend(DRAIN_MS)
     assert backend.discover("i-1", "shop", 4)
     backend.apply_heartbeat(attrs.evolve(BEAT, slots=9, cold_remaining_ms=500.0), 10.0)
@@ -52,7 +52,7 @@
     assert backend.cold_remaining_ms(10.0) == 500.0
 
 
-def test_a_probe_changes_nothing_that_was_announced() -> None:
+def test_probe_does_not_override_a_heartbeat() -> None:
     backend = Backend(DRAIN_MS)
     backend.apply_heartbeat(BEAT, 0.0)
     assert not backend.discover("i-2", "shop", 4)
@@ -64,7 +64,7 @@
     [attrs.evolve(BEAT, leaving=True), LeavingNotice("i-1")],
     ids=["beat", "end"],
 )
-def test_who_leaves_as_the_first_thing_heard_of_it_gets_nothing(
+def test_server_first_seen_leaving_gets_no_requests(
     notice: Heartbeat | LeavingNotice,
 ) -> None:
     backend = Backend(DRAIN_MS)
@@ -77,7 +77,7 @@
     assert not backend.admits(120.0)
 
 
-def test_who_leaves_after_it_was_found_has_half_the_bound() -> None:
+def test_server_leaving_after_its_discovery_drains_for_half_the_limit() -> None:
     backend = Backend(DRAIN_MS)
     backend.discover("i-1", "shop", 4)
     backend.apply_leaving(LeavingNotice("i-1"), 100.0)
