--- a/tests/test_mesh_bodies.py
+++ b/tests/test_mesh_bodies.py
@@ -1,4 +1,4 @@
-"""Requests with long bodies that hold a slot until their turn to be sent them comes."""
+"""Requests whose bodies are transferred only once they have a slot."""
 
 import pytest
 
@@ -10,11 +10,11 @@
 
 BODY = b"u" * 60_000
 LONG_REMAINING_MS = 60_000.0
-"""Time to a deadline that is far beyond a node's end."""
+"""Time left to a deadline that is far beyond the node's shutdown."""
 
 
 def upload(beside: Beside, budget_ms: float = 1200.0) -> tuple[Run, Listener]:
-    """Submit a request whose body is sent when it is asked for."""
+    """Submit a request whose body is sent when the node asks for it."""
     listener = Listener()
     run = beside.submit(listener, budget_ms, held=True, body_bytes=len(BODY))
     return run, listener
@@ -58,7 +58,7 @@
     run, _ = silent[0]
     run.body(BODY, True)
     beside.loop.run_due()
-    assert run.may_have_run, "a body that comes late still runs"
+    assert run.may_have_run, "a late body must still run"
 
 
 def test_request_whose_body_never_arrived_has_not_run(beside: Beside) -> None:
@@ -122,7 +122,7 @@
     beside.loop.now_ms += 3.0
     run.proceed()
     beside.loop.run_due()
-    assert run.may_have_run, "a mean that is too long is only corrected by runs"
+    assert run.may_have_run, "only runs can correct a mean that is too long"
 
 
 def test_deadline_sent_to_the_server_is_limited_by_the_shutdown(
--- a/tests/test_mesh_containment_callers.py
+++ b/tests/test_mesh_containment_callers.py
@@ -1,4 +1,4 @@
-"""A fault of our own beside callers, the backend server and the clock."""
+"""Internal errors in handling callers, answers and timers affect one request only."""
 
 import asyncio
 import contextlib
@@ -54,7 +54,7 @@
 
 
 async def send_raw(instance: MeshInstance, data: bytes, most: int) -> list[int]:
-    """Send requests on one connection and return the statuses in their order."""
+    """Send requests on one connection; return the statuses in their order."""
     reader, writer = await asyncio.open_connection(instance.host, CALLER_PORT)
     writer.write(data)
     found: list[int] = []
@@ -185,7 +185,7 @@
 
 
 def fail(*_: object, **__: object) -> None:
-    raise KeyError("a fault of our own")
+    raise KeyError("an internal error")
 
 
 @pytest.mark.parametrize(
@@ -227,7 +227,7 @@
 
     def tick(link: PeerLink, now_ms: float) -> None:
         if link.address == broken:
-            raise KeyError("a fault of our own")
+            raise KeyError("an internal error")
         ticked.add(link.address)
         original(link, now_ms)
 
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -1,4 +1,4 @@
-"""What other nodes send is typed before it is handled, whatever they send."""
+"""Bytes of peers are validated before they are handled, whatever they are."""
 
 import types
 import typing
@@ -76,7 +76,7 @@
 
 
 class FakeTransport:
-    """Stands in for a connection."""
+    """Replaces the transport of a connection."""
 
     def __init__(self) -> None:
         self.aborted = False
@@ -85,14 +85,14 @@
         return self.aborted
 
     def write(self, data: bytes) -> None:
-        """Drop it."""
+        """Ignore the data."""
 
     def abort(self) -> None:
         self.aborted = True
 
 
 class RecordingEnd:
-    """One end of a link whose handlers only note what reaches them."""
+    """One end of a link whose handlers only record the messages they get."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, called: bool) -> None:
         self.handled: list[Any] = []
@@ -109,7 +109,7 @@
         self.handled.append(message)
 
     def receive(self, *pieces: bytes) -> FakeTransport:
-        """Take bytes on a new link."""
+        """Feed bytes to a new link."""
         transport = FakeTransport()
         end: Any
         if self.called:
@@ -132,7 +132,7 @@
 
 
 def is_typed(value: object, kind: Any) -> bool:
-    """Whether a value has a type as a class names it."""
+    """Whether a value has the type that a class declares."""
     origin, inner = typing.get_origin(kind), typing.get_args(kind)
     if origin is not None:
         return type(value) is origin and items_are_typed(value, inner)
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -1,12 +1,7 @@
-"""A request that moves on a doubt keeps its first run until another answer is there.
-
-A read had run for 204 ms at a server whose node had just started and owed an answer to
-a probe for 0.2 s. The node that had sent it cancelled the run and asked another one,
-which was full, and its caller got 502: "request goes to another backend server",
-LINK_LOST, after 298 ms; "run cancelled by the node that sent it, before its answer",
-run_ms 204; "run refused beside the backend server", OVERLOADED. The first node had been
-alive all the time. Where the asked node was stopping, that cut a request of a planned
-stop.
+"""A request retried because its peer is unresponsive keeps its earlier run.
+
+Cancelled at once, the run is lost although the peer may be alive, and the caller gets
+502 if the other backend servers have no capacity.
 """
 
 import asyncio
@@ -22,13 +17,13 @@
 
 
 def restore_answers(instance: MeshInstance) -> None:
-    """Let a silenced node's answers through again."""
+    """Let a silenced node send to its peers again."""
     for link in list(instance.node.incoming_links.links):
         vars(link).pop("write", None)
 
 
 async def reopen(mesh: MeshFleet, instance: MeshInstance) -> None:
-    """Start another backend server beside a node whose first one left."""
+    """Start another backend server beside a node whose former one has left."""
     instance.server.instance_id += "b"
     await instance.beat(mesh.session)
     await eventually(
@@ -40,7 +35,7 @@
 
 
 async def start_run_at_first(mesh: MeshFleet, work_s: float = 1.0) -> asyncio.Task[int]:
-    """Begin a read that runs at the first instance, then open the second one too."""
+    """Start a read at the first instance, then open the second one too."""
     serving, other, asking = mesh.instances
     await only(mesh, serving)
     serving.server.work_s = work_s
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -1,4 +1,4 @@
-"""The whole path under faults: drains, crashes, garbled answers, a lost store."""
+"""The request path under faults: drains, crashes, malformed answers, a lost store."""
 
 import asyncio
 import contextlib
@@ -182,7 +182,7 @@
 
 
 def silence(instance: MeshInstance) -> None:
-    """Let a node's answers to other nodes get lost; it still receives."""
+    """Drop what a node sends to its peers; it still receives."""
     for link in list(instance.node.incoming_links.links):
         link.write = lambda data: None  # type: ignore[method-assign]
 
@@ -220,7 +220,7 @@
 async def send_until_closed(
     mesh: MeshFleet, instance: MeshInstance, name: str
 ) -> set[int]:
-    """Send one request after the other until the node takes no connections."""
+    """Send requests one after the other until the node accepts no connections."""
     statuses = set()
     with contextlib.suppress(ClientConnectorError):
         for index in range(1000):
--- a/tests/test_mesh_leaving_callers.py
+++ b/tests/test_mesh_leaving_callers.py
@@ -1,16 +1,7 @@
-"""Callers who leave while their requests wait beside a server.
+"""Callers that disconnect while their requests wait in the queue of a peer.
 
-A read waited for a slot at the node beside a server, with less time left than a run
-takes, and its caller left. The node had just taken that read off its books; it then
-looked for waiting requests that had become late, was given this very one by the queue,
-which still held it, and failed to find it. The fault came up where the message
-"cancel" was being handled, and there it passed for a message that can't be read:
-
-    {"event":9203,"message":"a message of a node can't be read",
-     "cause":"KeyError(Ticket(route='read', priority=2, ...))"}
-
-So the node reset the whole link. All requests that ran over it were cut, and their
-callers got 502 for the sake of one who had left.
+An internal error in handling the cancellation must not reset the link, which would fail
+all other requests on it.
 """
 
 import asyncio
@@ -20,11 +11,11 @@
 from .test_mesh_refusals import only, read
 
 LONG_MS = 2_000.0
-"""A run time that leaves no waiting read of this file the time to run."""
+"""Run time with which no waiting read can end in time."""
 
 
 async def send_read(instance: MeshInstance, name: str) -> asyncio.StreamWriter:
-    """Send a read whose caller can leave."""
+    """Send a read on a connection that the test can close."""
     _, writer = await asyncio.open_connection(instance.host, CALLER_PORT)
     head = "\r\n".join(f"{k}: {v}" for k, v in caller_headers(name).items())
     writer.write(f"GET /read/1 HTTP/1.1\r\n{head}\r\n\r\n".encode())
@@ -32,7 +23,7 @@
 
 
 def set_long_run_time(instance: MeshInstance) -> None:
-    """Let a node know that reads take long here."""
+    """Set the run time that a node expects of reads."""
     admission = instance.node.inbound.admission
     admission.forget()
     admission.learn("read", LONG_MS)
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -1,4 +1,4 @@
-"""The whole path: callers, two nodes, a backend server."""
+"""The request path: callers, two nodes, a backend server."""
 
 import asyncio
 
@@ -70,7 +70,7 @@
 
 
 class LowPriorityShedder(LoadShedder):
-    """Sheds all but the most urgent requests, whatever nodes report."""
+    """Sheds all requests but those of the highest priority."""
 
     def shed_ratio(self, service: str, priority: int) -> float:
         return float(priority > 1)
--- a/tests/test_mesh_refusals.py
+++ b/tests/test_mesh_refusals.py
@@ -1,4 +1,4 @@
-"""A refusal is true, and what has not run is refused, also at the deadline."""
+"""At its deadline, a request is refused if it has not run and fails if it may have."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 async def only(mesh: MeshFleet, serving: MeshInstance) -> None:
-    """Leave one backend server open, whose requests are known to be short."""
+    """Drain all backend servers but one, whose run times are known to be short."""
     for instance in mesh.instances:
         if instance is not serving:
             await instance.beat(mesh.session, "draining")
--- a/tests/test_mesh_restart.py
+++ b/tests/test_mesh_restart.py
@@ -1,4 +1,4 @@
-"""A node that was restarted while the backend server beside it ran on."""
+"""Restart of a node while its backend server keeps running."""
 
 import asyncio
 
