--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -19,7 +19,7 @@
 from .placement import EndpointSelector
 from .record import FIRST_FAILURE_STATUS, CallRecord
 
-MAX_NODES_ASKED = 4
+MAX_NODES_TRIED = 4
 """Nodes that one request is sent to at most, before it is refused."""
 WITHDRAWAL_TIMEOUT_MS = 50.0
 """Longest wait past the deadline for a peer's reply whether the request has run."""
@@ -125,7 +125,7 @@
             self._refuse(Reason.QUARANTINED, QUARANTINE_RETRY_AFTER_MS)
             return
         self.record.instance = endpoint.incarnation.instance_id
-        self.record.nodes_asked += 1
+        self.record.nodes_tried += 1
         self._selector.assign(endpoint)
         stream = context.members.send(endpoint, request, self)
         if stream is None:
@@ -181,7 +181,7 @@
         if self._earlier_run is not None or not self._request_builder.is_reroutable():
             return False
         self.record.runs += 1
-        if self._may_run_again():
+        if self._may_retry():
             self._unconfirmed_runs += 1
             return True
         self.record.runs -= 1
@@ -251,12 +251,12 @@
                 self._selector.avoid(endpoint)
         if refusal.reached_backend:
             self.record.runs += 1
-        may_repeat = (
-            not self._body.streamed and self.record.nodes_asked < MAX_NODES_ASKED
+        may_retry = (
+            not self._body.streamed and self.record.nodes_tried < MAX_NODES_TRIED
         )
-        if refusal.reached_backend and may_repeat:
-            may_repeat = self._may_run_again()
-        if may_repeat:
+        if refusal.reached_backend and may_retry:
+            may_retry = self._may_retry()
+        if may_retry:
             self._log_retry(reason)
             self._dispatch()
         else:
@@ -278,9 +278,7 @@
         if self._writer.started:
             self._close(cancel=False)
             self._outcome.report_failed(reason)
-        elif (
-            self.route.idempotent and not self._body.streamed and self._may_run_again()
-        ):
+        elif self.route.idempotent and not self._body.streamed and self._may_retry():
             self._log_retry(reason)
             self._dispatch()
         else:
@@ -307,14 +305,14 @@
 
     def _replace_error(self, answer: Answer, endpoint: Endpoint | None) -> bool:
         """Let another run answer in place of an error; return whether one may."""
-        runs_again = self._may_run_again()
-        if not runs_again and self._earlier_run is None:
+        retries = self._may_retry()
+        if not retries and self._earlier_run is None:
             return False
         self._keep_fallback_answer(answer)
         self._selector.release()
         if endpoint is not None:
             self._selector.avoid(endpoint)
-        if not runs_again:
+        if not retries:
             return self._resume_earlier_run()
         self._log_retry(Reason.MALFORMED, answer.status)
         self._dispatch()
@@ -369,14 +367,14 @@
 
     # Completion.
 
-    def _may_run_again(self) -> bool:
+    def _may_retry(self) -> bool:
         now_ms = self._now_ms()
         if (
             self.record.runs >= self.route.max_attempts
             or now_ms >= self._deadline.deadline_ms
         ):
             return False
-        if self.record.nodes_asked >= MAX_NODES_ASKED:
+        if self.record.nodes_tried >= MAX_NODES_TRIED:
             return False
         return self.context.retry_budget.spend(self.service, now_ms)
 
--- a/azurestep/mesh/callers/ending.py
+++ b/azurestep/mesh/callers/ending.py
@@ -6,7 +6,7 @@
 from ..messages import Reason
 from .answer_writer import AnswerWriter
 from .context import CallContext
-from .own_answers import BAD_GATEWAY, answer_refused, id_header
+from .own_answers import BAD_GATEWAY, answer_refused, request_id_header
 from .record import FIRST_FAILURE_STATUS, CallRecord
 
 CAPACITY_REASONS = frozenset({Reason.OVERLOADED, Reason.TOO_LATE})
@@ -54,7 +54,7 @@
         if self.writer.started:
             self.writer.reset()
         else:
-            self.exchange.answer(status, id_header(self.record.request_id), b"")
+            self.exchange.answer(status, request_id_header(self.record.request_id), b"")
 
     def report_fault(self) -> None:
         """Answer 502 after an internal error, or reset a started answer."""
@@ -63,7 +63,7 @@
         if self.exchange.started:
             self.exchange.reset()
         else:
-            headers = id_header(self.record.request_id)
+            headers = request_id_header(self.record.request_id)
             self.exchange.answer(BAD_GATEWAY, headers, b"")
 
     def report_disconnect(self) -> None:
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -14,7 +14,7 @@
 from .call import Call
 from .context import CallContext, Target
 from .ending import UNAVAILABLE
-from .own_answers import NO_BACKEND_RETRY_AFTER_MS, answer_refused, id_header
+from .own_answers import NO_BACKEND_RETRY_AFTER_MS, answer_refused, request_id_header
 
 SHED_RETRY_AFTER_MS = 120.0
 """Time after which to retry a shed request; short enough for the retry to meet the
@@ -115,7 +115,7 @@
             retry_after_ms = SHED_RETRY_AFTER_MS if shed else NO_BACKEND_RETRY_AFTER_MS
             answer_refused(self.runtime, self.exchange, self.request_id, retry_after_ms)
         else:
-            headers = id_header(self.request_id)
+            headers = request_id_header(self.request_id)
             self.exchange.answer(self.status, headers, b"")
 
     def on_disconnect(self) -> None:
--- a/azurestep/mesh/callers/own_answers.py
+++ b/azurestep/mesh/callers/own_answers.py
@@ -13,7 +13,7 @@
 BAD_GATEWAY = 502
 
 
-def id_header(request_id: bytes) -> Headers:
+def request_id_header(request_id: bytes) -> Headers:
     """Return the header with the request's id, if there is one."""
     return [(REQUEST_ID, request_id)] if request_id else []
 
@@ -23,12 +23,12 @@
 ) -> None:
     """Answer 503 with Retry-After: the request has not run."""
     jitter = 1 + RETRY_AFTER_JITTER * (2 * runtime.random.random() - 1)
-    headers = id_header(request_id)
+    headers = request_id_header(request_id)
     headers.append((b"Retry-After", b"%.3f" % (retry_after_ms * jitter / 1000)))
     exchange.answer(UNAVAILABLE, headers, b"")
 
 
 def answer_bad_gateway(exchange: Exchange) -> None:
     """Answer 502 after an internal error: the request may have run."""
-    headers = id_header(read_caller(exchange.headers).request_id)
+    headers = request_id_header(read_caller(exchange.headers).request_id)
     exchange.answer(BAD_GATEWAY, headers, b"")
--- a/azurestep/mesh/callers/record.py
+++ b/azurestep/mesh/callers/record.py
@@ -16,7 +16,7 @@
 
     Attributes
     ----------
-    nodes_asked : int
+    nodes_tried : int
         Nodes that the request was sent to.
     runs : int
         Backend servers where the request may have run.
@@ -32,7 +32,7 @@
     version: int
     attempt: Attempt
     arrived_ms: float
-    nodes_asked: int = 0
+    nodes_tried: int = 0
     runs: int = 0
     instance: bytes = b""
     waited_ms: float = 0.0
@@ -83,7 +83,7 @@
             "instance": self.instance,
             "status": status,
             "reason": reason,
-            "asked": self.nodes_asked,
+            "asked": self.nodes_tried,
             "runs": self.runs,
             "after_ms": round(now_ms - self.arrived_ms),
             "left_ms": round(self.objective_ms(now_ms)),
--- a/azurestep/mesh/knowledge/configuration_watcher.py
+++ b/azurestep/mesh/knowledge/configuration_watcher.py
@@ -97,12 +97,12 @@
         return not self._preferred_readers()
 
     def _preferred_readers(self) -> list[str]:
-        own = self.members.own_address[0]
+        own_host = self.members.own_address[0]
         return [
             link.address[0]
             for link in self.members.live_links()
             if link.endpoint.data_centre == self.members.data_centre
-            and link.address[0] < own
+            and link.address[0] < own_host
             and link.state is not None
             and link.state.store_reachable
             and not link.state.stopping
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -255,21 +255,21 @@
     def _on_pong(self, _: None, pong: Pong) -> None:
         """Ignore; any received message answers the probe."""
 
-    def _on_configuration(self, _: None, news: ConfigurationUpdate) -> None:
-        self.link.fleet_listener.on_configuration(news.version, news.content)
+    def _on_configuration(self, _: None, update: ConfigurationUpdate) -> None:
+        self.link.fleet_listener.on_configuration(update.version, update.content)
 
-    def _on_crashes(self, _: None, news: CrashReport) -> None:
-        self.link.fleet_listener.on_crashes(news.service, news.updates)
+    def _on_crashes(self, _: None, report: CrashReport) -> None:
+        self.link.fleet_listener.on_crashes(report.service, report.updates)
 
     def _on_answer(self, stream: RemoteStream, answer: Answer) -> None:
         if answer.whole:
             self.streams.pop(stream.stream_id, None)
         stream.receiver.on_answer(answer)
 
-    def _on_answer_data(self, stream: RemoteStream, more: AnswerData) -> None:
-        if more.whole:
+    def _on_answer_data(self, stream: RemoteStream, message: AnswerData) -> None:
+        if message.whole:
             self.streams.pop(stream.stream_id, None)
-        stream.receiver.on_answer_data(more.data, more.whole)
+        stream.receiver.on_answer_data(message.data, message.whole)
 
     def _on_refusal(self, stream: RemoteStream, refusal: Refusal) -> None:
         self.streams.pop(stream.stream_id, None)
--- a/azurestep/mesh/links/incoming.py
+++ b/azurestep/mesh/links/incoming.py
@@ -260,7 +260,7 @@
         self.peer = hello
         self.incoming_links.on_peer(hello)
 
-    def _on_configuration_query(self, _: int, wanted: ConfigurationQuery) -> None:
+    def _on_configuration_query(self, _: int, query: ConfigurationQuery) -> None:
         version, content = self.incoming_links.configuration()
         self.send(Kind.CONFIGURATION, version, compress(content))
 
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -767,8 +767,8 @@
     check("headers_of_caller", attrs.astuple(platform_headers.read_caller(caller)))
     check("headers_of_answer", attrs.astuple(platform_headers.read_answer(backend)))
     check("headers_to_backend", lines)
-    check("header_of_own_answers", own_answers.id_header(b"q1"))
-    assert own_answers.id_header(b"") == []
+    check("header_of_own_answers", own_answers.request_id_header(b"q1"))
+    assert own_answers.request_id_header(b"") == []
 
 
 def test_refusal_of_a_node_on_the_platform() -> None:
