--- a/azurestep/http/client.py
+++ b/azurestep/http/client.py
@@ -13,13 +13,13 @@
 Headers = list[tuple[bytes, bytes]]
 FIRST_FINAL_STATUS = 200
 WITHOUT_BODY = frozenset({204, 304})
-TRUST_SHARE = 0.6
+REUSE_LIMIT_RATIO = 0.6
 """Part of the idle time at which a connection was found forgotten up to which the
 others are trusted: the true limit is below that time, by an unknown amount."""
-TRUST_LEAST_MS = 50.0
+MIN_REUSE_LIMIT_MS = 50.0
 """Idle time that is always trusted; with less, most requests would need a new
 connection, each of which takes the backend server about 1 ms."""
-DISTRUST_S = 10.0
+REUSE_LIMIT_RESET_S = 10.0
 """Time after which longer idle times are tried again."""
 
 
@@ -245,23 +245,23 @@
 
     idle_limit_ms: float
     _connections: list[ClientConnection] = attrs.field(factory=list)
-    _distrusted_ms: float = float("inf")
-    _distrusted_s: float = 0.0
+    _reduced_limit_ms: float = float("inf")
+    _reduced_at_s: float = 0.0
 
     @property
     def reuse_limit_ms(self) -> float:
         """Idle time up to which the other end is known to keep a connection."""
-        return min(self.idle_limit_ms, self._distrusted_ms)
+        return min(self.idle_limit_ms, self._reduced_limit_ms)
 
     def reduce_reuse_limit(self, idle_ms: float, now_s: float) -> None:
         """Learn that the other end forgot a connection that rested so long."""
-        least_ms = max(TRUST_LEAST_MS, idle_ms * TRUST_SHARE)
-        self._distrusted_ms = min(self.reuse_limit_ms, least_ms)
-        self._distrusted_s = now_s
+        new_limit_ms = max(MIN_REUSE_LIMIT_MS, idle_ms * REUSE_LIMIT_RATIO)
+        self._reduced_limit_ms = min(self.reuse_limit_ms, new_limit_ms)
+        self._reduced_at_s = now_s
 
     def reset_reuse_limit(self) -> None:
         """Forget what was learned of the other end."""
-        self._distrusted_ms = float("inf")
+        self._reduced_limit_ms = float("inf")
 
     def take(
         self, now_s: float, max_idle_ms: float | None = None
@@ -296,7 +296,7 @@
 
     def sweep(self, now_s: float) -> None:
         """Close connections that were idle for too long."""
-        if now_s - self._distrusted_s > DISTRUST_S:
+        if now_s - self._reduced_at_s > REUSE_LIMIT_RESET_S:
             self.reset_reuse_limit()
         kept = []
         for connection in self._connections:
--- a/azurestep/http/exchange.py
+++ b/azurestep/http/exchange.py
@@ -7,7 +7,7 @@
 import attrs
 
 Headers = list[tuple[bytes, bytes]]
-REASONS = {int(status): status.phrase.encode() for status in HTTPStatus}
+REASON_PHRASES = {int(status): status.phrase.encode() for status in HTTPStatus}
 
 
 class Connection(Protocol):
@@ -94,8 +94,8 @@
 
     def begin(self, status: int, headers: Headers, length: int | None) -> None:
         """Send the head of an answer whose body follows; None means chunked."""
-        shown = None if length is None else b"%d" % length
-        head = self._head(status, headers, shown)
+        content_length = None if length is None else b"%d" % length
+        head = self._head(status, headers, content_length)
         self.started = True
         self.parts.append(head)
         self.connection.flush()
@@ -120,7 +120,9 @@
         return self.connection.is_writable(self)
 
     def _head(self, status: int, headers: Headers, length: bytes | None) -> bytes:
-        lines = [b"HTTP/1.1 %d %b\r\n" % (status, REASONS.get(status, b"Unknown"))]
+        lines = [
+            b"HTTP/1.1 %d %b\r\n" % (status, REASON_PHRASES.get(status, b"Unknown"))
+        ]
         lines += [b"%b: %b\r\n" % field for field in headers]
         if length is None:
             lines.append(b"Transfer-Encoding: chunked\r\n")
--- a/azurestep/http/server.py
+++ b/azurestep/http/server.py
@@ -17,7 +17,7 @@
 from .exchange import Exchange, Handler, Headers, answer_error
 
 HEAD_SLACK_BYTES = 65_536
-PIPELINE_MOST = 64
+MAX_PIPELINED_REQUESTS = 64
 
 
 @attrs.define
@@ -49,7 +49,7 @@
     def sweep(self, now_s: float) -> None:
         """Close idle connections and those whose request head takes too long."""
         for connection in list(self.connections):
-            connection.check_age(now_s)
+            connection.check_timeouts(now_s)
 
     @property
     def busy(self) -> bool:
@@ -74,13 +74,13 @@
         self._closing = False
         self._paused_writing = False
         self._paused_reading = False
-        self._active_s = 0.0
+        self._last_activity_s = 0.0
         self._loop = asyncio.get_running_loop()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
         self._transport = transport  # type: ignore[assignment]
-        self._active_s = self._loop.time()
+        self._last_activity_s = self._loop.time()
         self.state.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -90,9 +90,9 @@
         exchanges, self.exchanges = self.exchanges, deque()
         for exchange in exchanges:
             exchange.finished = True
-            self._tell_gone(exchange)
+            self._notify_disconnect(exchange)
 
-    def _tell_gone(self, exchange: Exchange) -> None:
+    def _notify_disconnect(self, exchange: Exchange) -> None:
         """Tell one request; a fault there keeps no other from being told."""
         try:
             if exchange.sink is not None:
@@ -100,7 +100,7 @@
         except Exception as error:
             self.state.on_fault(error, True)
 
-    def _contain(self, exchange: Exchange, error: Exception) -> None:
+    def _end_on_fault(self, exchange: Exchange, error: Exception) -> None:
         """End the request that met a fault of this program; the others go on.
 
         Before it was read whole, its answer would close the connection.
@@ -111,8 +111,8 @@
         if sink is not None:
             try:
                 sink.on_fault()
-            except Exception as another:
-                self.state.on_fault(another, True)
+            except Exception as second_error:
+                self.state.on_fault(second_error, True)
         if exchange.received:
             self._answer_fault(exchange)
 
@@ -128,21 +128,21 @@
         """Parse what the caller sent."""
         if self._closing:
             return
-        self._active_s = self._loop.time()
+        self._last_activity_s = self._loop.time()
         if self._in_head:
             self._head_bytes += len(data)
             if self._head_bytes > self.state.limits.header_bytes + HEAD_SLACK_BYTES:
-                self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+                self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
                 return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(HTTPStatus.NOT_IMPLEMENTED)
+            self._reject(HTTPStatus.NOT_IMPLEMENTED)
         except httptools.HttpParserCallbackError as error:
             self.state.on_fault(error.__context__ or error, False)
             self.abort()
         except httptools.HttpParserError:
-            self._refuse(HTTPStatus.BAD_REQUEST)
+            self._reject(HTTPStatus.BAD_REQUEST)
 
     def pause_writing(self) -> None:
         """Note that the caller does not take bytes."""
@@ -151,15 +151,15 @@
     def resume_writing(self) -> None:
         """Pass on that the caller takes bytes again."""
         self._paused_writing = False
-        self._tell_writable()
+        self._notify_writable()
 
-    def _tell_writable(self) -> None:
+    def _notify_writable(self) -> None:
         exchange = self.exchanges[0] if self.exchanges else None
         if exchange is not None and exchange.sink is not None:
             try:
                 exchange.sink.on_writable()
             except Exception as error:
-                self._contain(exchange, error)
+                self._end_on_fault(exchange, error)
 
     def on_message_begin(self) -> None:
         """Start a request."""
@@ -204,14 +204,14 @@
         self._reading = exchange
         self.exchanges.append(exchange)
         if size > self.state.limits.header_bytes:
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         elif length > self.state.limits.body_bytes:
-            self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         else:
             try:
                 self.state.handler(exchange)
             except Exception as error:
-                self._contain(exchange, error)
+                self._end_on_fault(exchange, error)
 
     def on_body(self, data: bytes) -> None:
         """Pass on a piece of the body."""
@@ -220,13 +220,13 @@
             return
         self._body_bytes += len(data)
         if self._body_bytes > self.state.limits.body_bytes:
-            self._tell_gone(exchange)
-            self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            self._notify_disconnect(exchange)
+            self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         elif exchange.sink is not None:
             try:
                 exchange.sink.on_body(data)
             except Exception as error:
-                self._contain(exchange, error)
+                self._end_on_fault(exchange, error)
 
     def on_message_complete(self) -> None:
         """Tell the sink that the request is whole."""
@@ -240,10 +240,10 @@
             try:
                 exchange.sink.on_end()
             except Exception as error:
-                self._contain(exchange, error)
+                self._end_on_fault(exchange, error)
         elif exchange.failed:
             self._answer_fault(exchange)
-        if len(self.exchanges) >= PIPELINE_MOST:
+        if len(self.exchanges) >= MAX_PIPELINED_REQUESTS:
             self.pause_reading()
         self.flush()
 
@@ -298,18 +298,20 @@
                 exchange.parts.clear()
             if not exchange.finished:
                 return
-            ends = not exchange.received or (self._closing and len(self.exchanges) == 1)
+            closes = not exchange.received or (
+                self._closing and len(self.exchanges) == 1
+            )
             self.exchanges.popleft()
-            if ends:
+            if closes:
                 transport.close()
                 return
-            self._promote()
-        self._active_s = self._loop.time()
+            self._begin_next_answer()
+        self._last_activity_s = self._loop.time()
 
-    def _promote(self) -> None:
-        if self._paused_reading and len(self.exchanges) < PIPELINE_MOST // 2:
+    def _begin_next_answer(self) -> None:
+        if self._paused_reading and len(self.exchanges) < MAX_PIPELINED_REQUESTS // 2:
             self.resume_reading()
-        self._tell_writable()
+        self._notify_writable()
 
     def abort(self) -> None:
         """Reset the connection."""
@@ -322,11 +324,11 @@
             self._closing = True
             self._transport.close()
 
-    def check_age(self, now_s: float) -> None:
+    def check_timeouts(self, now_s: float) -> None:
         """Enforce the idle and header times."""
-        age_ms = (now_s - self._active_s) * 1000
+        age_ms = (now_s - self._last_activity_s) * 1000
         if self._in_head and age_ms > self.state.limits.header_timeout_ms:
-            self._refuse(HTTPStatus.REQUEST_TIMEOUT)
+            self._reject(HTTPStatus.REQUEST_TIMEOUT)
         elif not self.exchanges and age_ms > self.state.limits.idle_timeout_ms:
             self.close_if_idle()
 
@@ -334,7 +336,7 @@
         if self._transport is not None and not self.exchanges:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _refuse(self, status: HTTPStatus) -> None:
+    def _reject(self, status: HTTPStatus) -> None:
         """Answer what can't be served and close once earlier answers are out."""
         exchange = self._reading
         if exchange is None:
--- a/azurestep/mesh/endpoints.py
+++ b/azurestep/mesh/endpoints.py
@@ -19,7 +19,7 @@
     def respond(exchange: Exchange, body: bytes) -> None:
         exchange.answer(200 if is_ready() else 503, JSON, b"{}")
 
-    return _collecting(respond)
+    return _collect_body(respond)
 
 
 def metrics(refresh: Callable[[], None], runtime: Runtime) -> Handler:
@@ -29,7 +29,7 @@
         refresh()
         exchange.answer(200, TEXT, runtime.metrics.text().encode())
 
-    return _collecting(respond)
+    return _collect_body(respond)
 
 
 def announcements(
@@ -71,7 +71,7 @@
             _log_change(backend)
         on_change()
 
-    return _collecting(respond)
+    return _collect_body(respond)
 
 
 def _check_service(
@@ -107,14 +107,14 @@
     )
 
 
-def _collecting(respond: Callable[[Exchange, bytes], None]) -> Handler:
+def _collect_body(respond: Callable[[Exchange, bytes], None]) -> Handler:
     def handle(exchange: Exchange) -> None:
-        exchange.sink = CollectedRequest(exchange, respond)
+        exchange.sink = BodyCollector(exchange, respond)
 
     return handle
 
 
-class CollectedRequest:
+class BodyCollector:
     """Collects a short request and answers it by a function.
 
     Parameters
--- a/azurestep/mesh/line_writer.py
+++ b/azurestep/mesh/line_writer.py
@@ -16,7 +16,7 @@
 
 from ..events import Event, register
 
-LINES_LEFT_OUT = register(
+LINES_DROPPED = register(
     9006,
     logging.WARNING,
     "log lines were left out above the rate",
@@ -49,9 +49,9 @@
     clock: Callable[[], float] = time.monotonic
     dropped: int = 0
     _lines: list[bytes] = attrs.field(factory=list)
-    _rest: bytes = b""
+    _unwritten: bytes = b""
     _tokens: float = BURST_LINES
-    _filled_s: float = 0.0
+    _refilled_s: float = 0.0
 
     def open(self) -> None:
         """Make writes return at once when nobody reads."""
@@ -74,12 +74,12 @@
             of refused and late requests as often as those of answers in time.
         """
         now_s = self.clock()
-        grown = self._tokens + (now_s - self._filled_s) * RATE_LINES_S
-        self._tokens = min(BURST_LINES, grown)
-        self._filled_s = now_s
+        refilled = self._tokens + (now_s - self._refilled_s) * RATE_LINES_S
+        self._tokens = min(BURST_LINES, refilled)
+        self._refilled_s = now_s
         urgent = event.level >= logging.ERROR
-        least = RESERVED_LINES if routine else 1
-        if (self._tokens < least and not urgent) or len(self._lines) >= BUFFER_LINES:
+        floor = RESERVED_LINES if routine else 1
+        if (self._tokens < floor and not urgent) or len(self._lines) >= BUFFER_LINES:
             self.dropped += 1
             return
         self._tokens -= 1
@@ -89,12 +89,12 @@
         """Write what standard output takes now."""
         if self.dropped and self._tokens >= 1 and len(self._lines) < BUFFER_LINES:
             dropped, self.dropped = self.dropped, 0
-            self._lines.append(_line(LINES_LEFT_OUT, {"lines": dropped}))
-        if not self._rest:
-            self._rest = b"".join(self._lines)
+            self._lines.append(_line(LINES_DROPPED, {"lines": dropped}))
+        if not self._unwritten:
+            self._unwritten = b"".join(self._lines)
             self._lines = []
-        if self._rest:
-            self._rest = self._rest[self._write(self._rest) :]
+        if self._unwritten:
+            self._unwritten = self._unwritten[self._write(self._unwritten) :]
 
     def _write(self, data: bytes) -> int:
         try:
@@ -103,7 +103,7 @@
             return 0
 
 
-def _text(value: object) -> object:
+def _decode_text(value: object) -> object:
     return value.decode("latin-1") if isinstance(value, bytes) else value
 
 
@@ -113,5 +113,5 @@
         "event": event.number,
         "message": event.summary,
     }
-    line.update({name: _text(value) for name, value in fields.items()})
+    line.update({name: _decode_text(value) for name, value in fields.items()})
     return orjson.dumps(line, default=str) + b"\n"
--- a/azurestep/mesh/metrics.py
+++ b/azurestep/mesh/metrics.py
@@ -31,12 +31,12 @@
     def lines(self, name: str) -> list[str]:
         """Return the lines of the text format."""
         lines = []
-        seen = 0
+        cumulative = 0
         for bound, count in zip((*BUCKETS_MS, "+Inf"), self.counts, strict=True):
-            seen += count
-            lines.append(f'azurestep_{name}_bucket{{le="{bound}"}} {seen}')
+            cumulative += count
+            lines.append(f'azurestep_{name}_bucket{{le="{bound}"}} {cumulative}')
         lines.append(f"azurestep_{name}_sum {self.total_ms:.1f}")
-        lines.append(f"azurestep_{name}_count {seen}")
+        lines.append(f"azurestep_{name}_count {cumulative}")
         return lines
 
 
@@ -57,7 +57,7 @@
         """Return all metrics in the text format."""
         lines = [*self.call_ms.lines("call_ms"), *self.run_ms.lines("run_ms")]
         for (name, label), value in sorted(self.counters.items()):
-            shown = f'{{kind="{label}"}}' if label else ""
-            lines.append(f"azurestep_{name}_total{shown} {value}")
+            labels = f'{{kind="{label}"}}' if label else ""
+            lines.append(f"azurestep_{name}_total{labels} {value}")
         lines += [f"azurestep_{name} {value:g}" for name, value in self.gauges.items()]
         return "\n".join(lines) + "\n"
--- a/azurestep/mesh/runtime.py
+++ b/azurestep/mesh/runtime.py
@@ -13,12 +13,12 @@
 from . import events
 from .metrics import Metrics
 
-TRACEBACK_CALLS = 8
+TRACEBACK_FRAMES = 8
 """Innermost calls that a line shows."""
 MAX_TRACEBACKS = 20
 """Lines of each place that show one: a part of the tick that fails each time writes ten
 a second. Counts and causes go on."""
-CAUSE_CHARACTERS = 500
+MAX_CAUSE_CHARACTERS = 500
 
 
 @attrs.define(eq=False)
@@ -34,20 +34,20 @@
         """Return a monotonic time that also counts suspended time."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
-    def call_soon(self, act: Callable[[], None]) -> None:
+    def call_soon(self, callback: Callable[[], None]) -> None:
         """Call a function once what is being handled now has ended.
 
         Its error is its own: it reaches nothing that happens to be on the stack.
         """
-        self.loop.call_soon(self.run_guarded, "soon", act)
+        self.loop.call_soon(self.run_guarded, "soon", callback)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine beside the others."""
         task = self.loop.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
@@ -64,9 +64,9 @@
         self.metrics.count("faults", place)
         if self.metrics.counters["faults", place] <= MAX_TRACEBACKS:
             fields["traceback"] = "".join(
-                traceback.format_exception(error, limit=-TRACEBACK_CALLS, chain=False)
+                traceback.format_exception(error, limit=-TRACEBACK_FRAMES, chain=False)
             )
-        cause = repr(error)[:CAUSE_CHARACTERS]
+        cause = repr(error)[:MAX_CAUSE_CHARACTERS]
         events.log(event, place=place, cause=cause, **fields)
 
     def run_guarded(
@@ -81,11 +81,11 @@
     def fault_handler(self, place: str) -> Callable[[BaseException, bool], None]:
         """Return what takes the faults of callers' connections at a place."""
 
-        def take(error: BaseException, contained: bool) -> None:
+        def handle(error: BaseException, contained: bool) -> None:
             event = events.FAULT if contained else events.HANDLER_FAILED
             self.report_fault(place, error, event)
 
-        return take
+        return handle
 
     def on_loop_error(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]
--- a/azurestep/mesh/settings.py
+++ b/azurestep/mesh/settings.py
@@ -80,14 +80,14 @@
     1500.0
     """
     known = {
-        BOUND_FIELDS[name]: _bound(value)
+        BOUND_FIELDS[name]: _parse_bound(value)
         for name, value in values.items()
         if name in BOUND_FIELDS
     }
     return Bounds(**known)
 
 
-def _bound(value: Any) -> float:
+def _parse_bound(value: Any) -> float:
     if isinstance(value, int | float):
         return float(value)
     return parse_duration_ms(value)
--- a/azurestep/platform/announcement.py
+++ b/azurestep/platform/announcement.py
@@ -10,17 +10,17 @@
 from .units import DURATION_PATTERN, parse_duration_ms
 
 PREFIX = "/v1/instances/"
-MOST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 """Slots above which an announcement counts as damaged: 5,000 times the largest backend
 server that was measured."""
-LARGEST_WHOLE = 2**53
+MAX_INTEGER = 2**53
 """Largest whole number that every JSON reader keeps exactly."""
-BODY_MOST_BYTES = 65_536
+MAX_BODY_BYTES = 65_536
 """Longest body that is read: 200 times a heartbeat."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 Duration = Annotated[str, msgspec.Meta(pattern=DURATION_PATTERN)]
-Whole = Annotated[int, msgspec.Meta(ge=0, le=LARGEST_WHOLE)]
+NonNegativeInteger = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
 HostPort = Annotated[str, msgspec.Meta(pattern=r"^[^:\s]+:[0-9]{1,5}\Z")]
 
 
@@ -70,13 +70,13 @@
     service: Name
     version: str
     zone: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
 
 
 @attrs.frozen(slots=True)
 class _Status:
     state: _ReportedState
-    sequence: Whole
+    sequence: NonNegativeInteger
     cold_remaining: Duration
 
 
@@ -85,12 +85,12 @@
     address: HostPort
     information: _Information
     status: _Status
-    born: Whole | msgspec.UnsetType = msgspec.UNSET
+    born: NonNegativeInteger | msgspec.UnsetType = msgspec.UNSET
 
 
 @attrs.frozen(slots=True)
 class _LeavingBody:
-    born: Whole | msgspec.UnsetType = msgspec.UNSET
+    born: NonNegativeInteger | msgspec.UnsetType = msgspec.UNSET
 
 
 _HEARTBEAT = msgspec.json.Decoder(_HeartbeatBody)
@@ -126,7 +126,7 @@
 def _leaving(instance_id: str, body: bytes) -> LeavingNotice:
     if not body.strip():
         return LeavingNotice(instance_id)
-    return LeavingNotice(instance_id, _known(_LEAVING.decode(body).born))
+    return LeavingNotice(instance_id, _started_ms(_LEAVING.decode(body).born))
 
 
 def _heartbeat(instance_id: str, body: bytes) -> Heartbeat:
@@ -138,9 +138,9 @@
         slots=fields.information.slots,
         leaving=fields.status.state is _ReportedState.DRAINING,
         cold_remaining_ms=parse_duration_ms(fields.status.cold_remaining),
-        started_ms=_known(fields.born),
+        started_ms=_started_ms(fields.born),
     )
 
 
-def _known(born: int | msgspec.UnsetType) -> int | None:
+def _started_ms(born: int | msgspec.UnsetType) -> int | None:
     return None if isinstance(born, msgspec.UnsetType) else born
--- a/azurestep/platform/document.py
+++ b/azurestep/platform/document.py
@@ -15,21 +15,21 @@
 DEFAULT_TIMEOUT_MS = 30_000.0
 LOWEST_PRIORITY = 9
 DEFAULT_CONNECTION_LIMIT = 100
-LARGEST_WHOLE = 2**53
+MAX_INTEGER = 2**53
 """Largest whole number that every JSON reader keeps exactly."""
-SERVICES_KEPT = 64
+SERVICE_CACHE_SIZE = 64
 """Services whose parts are shared between routes."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1)]
-Place = Annotated[str, msgspec.Meta(pattern=r"^/(?:.*/)?\Z")]
+PathPrefix = Annotated[str, msgspec.Meta(pattern=r"^/(?:.*/)?\Z")]
 Duration = Annotated[str, msgspec.Meta(pattern=DURATION_PATTERN)]
-Whole = Annotated[int, msgspec.Meta(ge=0, le=LARGEST_WHOLE)]
-Counted = Annotated[int, msgspec.Meta(ge=1, le=LARGEST_WHOLE)]
+NonNegativeInteger = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
+PositiveInteger = Annotated[int, msgspec.Meta(ge=1, le=MAX_INTEGER)]
 Weight = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
 
 
 @attrs.frozen(slots=True)
-class _Part:
+class _WeightedService:
     service: Name
     weight: Weight
 
@@ -37,33 +37,33 @@
 @attrs.frozen(slots=True)
 class _Route:
     host: Name
-    path_prefix: Place
+    path_prefix: PathPrefix
     route_kind: Name
     service: Name | None = None
-    traffic_split: list[_Part] | None = None
+    traffic_split: list[_WeightedService] | None = None
     timeout: Duration | None = None
     aim: Duration | None = None
-    priority: Whole = LOWEST_PRIORITY
-    max_attempts: Counted = 1
+    priority: NonNegativeInteger = LOWEST_PRIORITY
+    max_attempts: PositiveInteger = 1
 
 
 @attrs.frozen(slots=True)
 class _Service:
     health_check_path: Name = "/health"
-    connection_limit: Counted = DEFAULT_CONNECTION_LIMIT
+    connection_limit: PositiveInteger = DEFAULT_CONNECTION_LIMIT
 
 
 @attrs.frozen(slots=True)
 class _Limits:
-    max_header_bytes: Whole
-    max_body_bytes: Whole
+    max_header_bytes: NonNegativeInteger
+    max_body_bytes: NonNegativeInteger
     header_timeout: Duration
     idle_timeout: Duration
 
 
 @attrs.frozen(slots=True)
 class _Document:
-    version: Counted
+    version: PositiveInteger
     routes: dict[str, _Route]
     services: dict[str, _Service]
     limits: _Limits
@@ -84,15 +84,15 @@
     try:
         fields = _DOCUMENT.decode(content)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise _refusal(str(error)) from error
+        raise _configuration_error(str(error)) from error
     services = {name: _service(name, one) for name, one in fields.services.items()}
     routes = [_route(name, one) for name, one in fields.routes.items()]
     for route in routes:
-        _check_parts(route, services)
+        _check_services(route, services)
     return Document(fields.version, services, _limits(fields.limits), routes)
 
 
-def _refusal(cause: str) -> ConfigurationError:
+def _configuration_error(cause: str) -> ConfigurationError:
     return ConfigurationError(
         f"the configuration can't be read: {cause}",
         "The version in force stays; publish one of the agreed shape",
@@ -119,32 +119,32 @@
         objective_ms=objective_ms,
         priority=fields.priority,
         max_attempts=fields.max_attempts,
-        parts=_parts(name, fields),
+        weighted_services=_weighted_services(name, fields),
     )
 
 
-def _parts(name: str, fields: _Route) -> tuple[WeightedService, ...]:
+def _weighted_services(name: str, fields: _Route) -> tuple[WeightedService, ...]:
     if fields.traffic_split:
         return tuple(
             WeightedService(part.service, part.weight) for part in fields.traffic_split
         )
     if fields.service is None:
-        raise _refusal(f"route {name!r} has neither a service nor a split")
-    return _only_part(fields.service)
+        raise _configuration_error(f"route {name!r} has neither a service nor a split")
+    return _single_service(fields.service)
 
 
-def _check_parts(route: Route, services: dict[str, Service]) -> None:
-    if not any(part.weight > 0 for part in route.parts):
-        raise _refusal(f"no part of route {route.name!r} has a weight")
-    for part in route.parts:
+def _check_services(route: Route, services: dict[str, Service]) -> None:
+    if not any(part.weight > 0 for part in route.weighted_services):
+        raise _configuration_error(f"no part of route {route.name!r} has a weight")
+    for part in route.weighted_services:
         if part.service not in services:
-            raise _refusal(
+            raise _configuration_error(
                 f"route {route.name!r} leads to the unknown service {part.service!r}"
             )
 
 
-@functools.lru_cache(maxsize=SERVICES_KEPT)
-def _only_part(service: str) -> tuple[WeightedService, ...]:
+@functools.lru_cache(maxsize=SERVICE_CACHE_SIZE)
+def _single_service(service: str) -> tuple[WeightedService, ...]:
     """Return the parts of a route without a split, shared by all such routes."""
     return (WeightedService(service, 1.0),)
 
--- a/azurestep/platform/headers.py
+++ b/azurestep/platform/headers.py
@@ -16,8 +16,8 @@
 INSTANCE = b"instance-id"
 SERVER_LOAD = b"server-load"
 
-SET_BY_US = frozenset({DEADLINE, EXPECTED_INSTANCE, CALLING_SERVICE})
-ONE_CONNECTION = frozenset(
+SET_BY_NODE = frozenset({DEADLINE, EXPECTED_INSTANCE, CALLING_SERVICE})
+HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -31,7 +31,7 @@
         b"accept-encoding",
     }
 )
-LONGEST_BUDGET_MS = 600_000.0
+MAX_REMAINING_MS = 600_000.0
 
 
 @attrs.frozen(slots=True)
@@ -105,10 +105,10 @@
     text = value.strip()
     if not text.isdigit():
         return None
-    return min(float(text), LONGEST_BUDGET_MS)
+    return min(float(text), MAX_REMAINING_MS)
 
 
-def _named_by_connection(headers: Headers) -> set[bytes]:
+def _connection_options(headers: Headers) -> set[bytes]:
     names: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -118,7 +118,7 @@
 
 def read_caller(headers: Headers) -> CallerFields:
     """Read a caller's headers."""
-    dropped = _named_by_connection(headers)
+    dropped = _connection_options(headers)
     host = request_id = b""
     remaining_ms = None
     forwarded = []
@@ -131,7 +131,7 @@
             continue
         elif lower == b"host":
             host = value
-        elif lower in ONE_CONNECTION or lower in SET_BY_US or lower in dropped:
+        elif lower in HOP_BY_HOP or lower in SET_BY_NODE or lower in dropped:
             continue
         forwarded.append((name, value))
     return CallerFields(host.lower(), request_id, remaining_ms, forwarded)
@@ -148,19 +148,19 @@
 def read_answer(headers: Headers) -> AnswerFields:
     """Read a backend server's headers."""
     known = {name.lower(): value for name, value in headers}
-    by_connection = _named_by_connection(headers)
-    unforwarded = ONE_CONNECTION | by_connection | {SERVER_LOAD}
+    connection_options = _connection_options(headers)
+    dropped = HOP_BY_HOP | connection_options | {SERVER_LOAD}
     keep_alive = known.get(b"keep-alive")
     return AnswerFields(
         request_id=known.get(REQUEST_ID, b""),
         signed=SIGNATURE in known,
         not_run=NOT_RUN in known,
         instance_id=known.get(INSTANCE, b""),
-        closing=b"close" in by_connection,
+        closing=b"close" in connection_options,
         keep_alive_ms=None if keep_alive is None else _keep_alive_ms(keep_alive),
         encoded=b"content-encoding" in known,
         slots=_slots(known.get(SERVER_LOAD, b"")),
-        forwarded=[field for field in headers if field[0].lower() not in unforwarded],
+        forwarded=[field for field in headers if field[0].lower() not in dropped],
     )
 
 
--- a/azurestep/platform/members.py
+++ b/azurestep/platform/members.py
@@ -10,13 +10,13 @@
 
 FORMAT = 1
 """Version of these records; those of another version name no node to this one."""
-LARGEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 @attrs.frozen(slots=True)
 class _Member:
     format: int
-    port: Annotated[int, msgspec.Meta(ge=1, le=LARGEST_PORT)]
+    port: Annotated[int, msgspec.Meta(ge=1, le=MAX_PORT)]
 
 
 _MEMBER = msgspec.json.Decoder(_Member)
--- a/azurestep/platform/store.py
+++ b/azurestep/platform/store.py
@@ -42,8 +42,8 @@
 PRECONDITION_FAILED = 412
 THROTTLED = 429
 FENCED = "fenced"
-LENGTH = struct.Struct(">I")
-ENDS = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
+OFFSETS = struct.Struct(">QQ")
 
 
 @attrs.frozen(slots=True)
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen(slots=True)
-class _ForgottenAnswer:
+class _TruncatedAnswer:
     first_offset: int
 
 
@@ -83,7 +83,7 @@
 
 
 _ITEM = msgspec.json.Decoder(_Item)
-Shape = TypeVar("Shape")
+AnswerType = TypeVar("AnswerType")
 
 
 class Reply:
@@ -159,7 +159,7 @@
         if producer is not None:
             path += f"&producer={quote(producer.name)}"
             path += f"&epoch={producer.epoch}&sequence={producer.sequence}"
-        body = b"".join(LENGTH.pack(len(record)) + record for record in records)
+        body = b"".join(RECORD_LENGTH.pack(len(record)) + record for record in records)
         answer = await self._call("append", b"POST", path, body, CALL_TIMEOUT_MS)
         if isinstance(answer, Unanswered):
             return answer
@@ -190,13 +190,13 @@
             return answer
         status, content = answer
         if status == GONE:
-            gone = self._decoded(content, _ForgottenAnswer)
+            gone = self._decode(content, _TruncatedAnswer)
             if isinstance(gone, Unanswered):
                 return gone
             return Truncated(gone.first_offset)
         if status != OK:
             return Refused(status)
-        return _split_records(content, from_offset)
+        return _parse_records(content, from_offset)
 
     async def read_latest(self, topic: str) -> LatestRecords | Failed:
         """Return the newest record of each key of a keyed topic."""
@@ -213,10 +213,10 @@
             status, content = answer
             if status != OK:
                 return Refused(status)
-            page = self._decoded(content, _Page)
+            page = self._decode(content, _Page)
             if isinstance(page, Unanswered):
                 return page
-            readable = [item for item in map(_keyed_record, page.items) if item]
+            readable = [item for item in map(_decode_item, page.items) if item]
             items += readable
             unreadable += len(page.items) - len(readable)
             if not page.has_more or not readable:
@@ -262,31 +262,33 @@
 
     def _append_outcome(self, status: int, content: bytes) -> AppendOutcome:
         if status == OK:
-            done = self._decoded(content, _AppendAnswer)
+            done = self._decode(content, _AppendAnswer)
             if isinstance(done, Unanswered):
                 return done
             return Appended(done.offset, done.end_offset)
         if status == PRECONDITION_FAILED:
-            moved = self._decoded(content, _ConditionAnswer)
+            moved = self._decode(content, _ConditionAnswer)
             return (
                 moved if isinstance(moved, Unanswered) else Conflict(moved.end_offset)
             )
-        conflict = self._decoded(content, _ConflictAnswer)
+        conflict = self._decode(content, _ConflictAnswer)
         if isinstance(conflict, Unanswered):
             return conflict
         if conflict.why == FENCED:
             return Fenced()
         return OutOfSequence(conflict.sequence)
 
-    def _decoded(self, content: bytes, shape: type[Shape]) -> Shape | Unanswered:
+    def _decode(
+        self, content: bytes, answer_type: type[AnswerType]
+    ) -> AnswerType | Unanswered:
         try:
-            return msgspec.json.decode(content, type=shape)
+            return msgspec.json.decode(content, type=answer_type)
         except (msgspec.DecodeError, RecursionError) as error:
             self.close()
             return Unanswered(f"malformed answer: {error}")
 
 
-def _keyed_record(raw: msgspec.Raw) -> KeyedRecord | None:
+def _decode_item(raw: msgspec.Raw) -> KeyedRecord | None:
     """Return a record of a page, or None if another writer made it unreadable."""
     try:
         item = _ITEM.decode(raw)
@@ -296,14 +298,14 @@
     return KeyedRecord(item.key, value, item.offset)
 
 
-def _split_records(content: bytes, from_offset: int) -> Records | Unanswered:
-    if len(content) < ENDS.size:
+def _parse_records(content: bytes, from_offset: int) -> Records | Unanswered:
+    if len(content) < OFFSETS.size:
         return Unanswered("malformed answer: too short")
     values = []
-    at = ENDS.size
-    while at + LENGTH.size <= len(content):
-        (size,) = LENGTH.unpack_from(content, at)
-        at += LENGTH.size
+    at = OFFSETS.size
+    while at + RECORD_LENGTH.size <= len(content):
+        (size,) = RECORD_LENGTH.unpack_from(content, at)
+        at += RECORD_LENGTH.size
         if at + size > len(content):
             break
         values.append(content[at : at + size])
--- a/azurestep/platform/units.py
+++ b/azurestep/platform/units.py
@@ -8,13 +8,13 @@
 UNITS_MS = {"ms": 1.0, "s": 1000.0}
 DURATION_PATTERN = r"^([0-9]{1,12}(?:\.[0-9]{1,9})?)(ms|s)\Z"
 """A number and its unit; twelve digits of seconds are 30,000 years."""
-DURATIONS_KEPT = 256
+DURATION_CACHE_SIZE = 256
 """Durations whose value is kept: thousands of routes have a few between them."""
 
 _DURATION = re.compile(DURATION_PATTERN)
 
 
-@functools.lru_cache(maxsize=DURATIONS_KEPT)
+@functools.lru_cache(maxsize=DURATION_CACHE_SIZE)
 def parse_duration_ms(text: str) -> float:
     """Return a duration in milliseconds.
 
--- a/azurestep/quarantine/table.py
+++ b/azurestep/quarantine/table.py
@@ -20,9 +20,9 @@
 SUSPICION_MS = 300_000.0
 PENDING_MS = 10_000.0
 DEATH_WINDOW_MS = 10_000.0
-CHANCE_MAXIMUM = 0.01
+MAX_PROBABILITY = 0.01
 PRIOR_DEATHS = 0.1
-REMEMBERED_DEATHS = 256
+MAX_RECORDED_DEATHS = 256
 
 
 class Quarantine:
@@ -48,7 +48,9 @@
         self._size = size
         self._weigh_chance = weigh_chance
         self._suspects: OrderedDict[int, Suspect] = OrderedDict()
-        self._deaths: deque[tuple[float, EndpointKey]] = deque(maxlen=REMEMBERED_DEATHS)
+        self._deaths: deque[tuple[float, EndpointKey]] = deque(
+            maxlen=MAX_RECORDED_DEATHS
+        )
         self._dead: dict[EndpointKey, float] = {}
         self._servers = 1
 
@@ -62,7 +64,7 @@
 
     def status_of(self, fingerprint: int, now_ms: float) -> QuarantineStatus:
         """Return how a request is to be treated."""
-        suspect = self._find(fingerprint, now_ms)
+        suspect = self._get_current(fingerprint, now_ms)
         if suspect is None:
             return QuarantineStatus.CLEAR
         if suspect.refused_until_ms > now_ms:
@@ -94,7 +96,7 @@
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return
-        self._stop(suspect, key)
+        self._count_end(suspect, key)
         suspect.survivals += 1
         if suspect.survivals >= len(suspect.deaths) and not suspect.pending:
             self._drop(fingerprint)
@@ -103,14 +105,14 @@
         """Note that an attempt ended in a way that says nothing."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
-            self._stop(suspect, key)
+            self._count_end(suspect, key)
 
     def record_loss(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
         """Note a connection lost before the first byte of the answer."""
-        suspect = self._record(fingerprint, now_ms)
-        self._stop(suspect, key)
+        suspect = self._get_or_create(fingerprint, now_ms)
+        self._count_end(suspect, key)
         if key in self._dead:
-            self._blame(suspect, key, now_ms)
+            self._attribute_death(suspect, key, now_ms)
             return
         suspect.pending[key] = now_ms
 
@@ -135,15 +137,15 @@
         """
         if key in self._dead:
             return []
-        self._remember_death(key, now_ms)
+        self._add_death(key, now_ms)
         self._servers = max(servers, 1)
-        news = []
+        updates = []
         for fingerprint, suspect in self._suspects.items():
             if suspect.pending.pop(key, None) is None:
                 continue
-            self._blame(suspect, key, now_ms)
-            news.append(self._update(fingerprint, suspect, now_ms))
-        return news
+            self._attribute_death(suspect, key, now_ms)
+            updates.append(self._make_update(fingerprint, suspect, now_ms))
+        return updates
 
     def record_alive(self, key: EndpointKey) -> None:
         """Note that a lost connection didn't mean a death."""
@@ -155,7 +157,7 @@
     def export(self, now_ms: float) -> list[QuarantineUpdate]:
         """Return everything that other nodes should know."""
         return [
-            self._update(fingerprint, suspect, now_ms)
+            self._make_update(fingerprint, suspect, now_ms)
             for fingerprint, suspect in self._suspects.items()
             if suspect.deaths
         ]
@@ -181,27 +183,27 @@
         if servers is not None:
             self._servers = max(servers, 1)
         for update in updates:
-            suspect = self._record(update.fingerprint, now_ms)
+            suspect = self._get_or_create(update.fingerprint, now_ms)
             for key in update.deaths:
                 if key not in self._dead:
-                    self._remember_death(key, now_ms)
+                    self._add_death(key, now_ms)
                 suspect.deaths.add(key)
             until_ms = now_ms + min(update.refused_for_ms, REFUSAL_MS)
             if update.refused_for_ms > 0:
                 suspect.refused_until_ms = max(suspect.refused_until_ms, until_ms)
-            self._judge(suspect, now_ms)
+            self._refuse_likely_cause(suspect, now_ms)
 
-    def _find(self, fingerprint: int, now_ms: float) -> Suspect | None:
+    def _get_current(self, fingerprint: int, now_ms: float) -> Suspect | None:
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return None
-        _forget_pending(suspect, now_ms)
+        _expire_pending(suspect, now_ms)
         if now_ms >= suspect.expiry_ms or not (suspect.deaths or suspect.pending):
             self._drop(fingerprint)
             return None
         return suspect
 
-    def _record(self, fingerprint: int, now_ms: float) -> Suspect:
+    def _get_or_create(self, fingerprint: int, now_ms: float) -> Suspect:
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             suspect = Suspect()
@@ -215,49 +217,51 @@
     def _drop(self, fingerprint: int) -> None:
         del self._suspects[fingerprint]
 
-    def _stop(self, suspect: Suspect, key: EndpointKey) -> None:
+    def _count_end(self, suspect: Suspect, key: EndpointKey) -> None:
         count = suspect.running.get(key, 0) - 1
         if count > 0:
             suspect.running[key] = count
         else:
             suspect.running.pop(key, None)
 
-    def _remember_death(self, key: EndpointKey, now_ms: float) -> None:
+    def _add_death(self, key: EndpointKey, now_ms: float) -> None:
         if len(self._deaths) == self._deaths.maxlen:
             self._dead.pop(self._deaths[0][1], None)
         self._deaths.append((now_ms, key))
         self._dead[key] = now_ms
 
-    def _blame(self, suspect: Suspect, key: EndpointKey, now_ms: float) -> None:
+    def _attribute_death(
+        self, suspect: Suspect, key: EndpointKey, now_ms: float
+    ) -> None:
         suspect.deaths.add(key)
-        self._judge(suspect, now_ms)
+        self._refuse_likely_cause(suspect, now_ms)
 
-    def _judge(self, suspect: Suspect, now_ms: float) -> None:
+    def _refuse_likely_cause(self, suspect: Suspect, now_ms: float) -> None:
         count = len(suspect.deaths)
         if count < self._deaths_to_refuse or suspect.survivals >= count:
             return
-        if self._weigh_chance and self._chance(suspect, now_ms) > CHANCE_MAXIMUM:
+        if self._weigh_chance and self._probability(suspect, now_ms) > MAX_PROBABILITY:
             return
         suspect.refused_until_ms = max(suspect.refused_until_ms, now_ms + REFUSAL_MS)
         suspect.expiry_ms = max(suspect.expiry_ms, suspect.refused_until_ms)
 
-    def _chance(self, suspect: Suspect, now_ms: float) -> float:
-        since_ms = now_ms - DEATH_WINDOW_MS
+    def _probability(self, suspect: Suspect, now_ms: float) -> float:
+        window_start_ms = now_ms - DEATH_WINDOW_MS
         others = sum(
-            at_ms >= since_ms and key not in suspect.deaths
+            at_ms >= window_start_ms and key not in suspect.deaths
             for at_ms, key in self._deaths
         )
-        share = min(1.0, (others + PRIOR_DEATHS) / self._servers)
-        return share ** len(suspect.deaths)
+        ratio = min(1.0, (others + PRIOR_DEATHS) / self._servers)
+        return ratio ** len(suspect.deaths)
 
-    def _update(
+    def _make_update(
         self, fingerprint: int, suspect: Suspect, now_ms: float
     ) -> QuarantineUpdate:
         refused_for_ms = max(0.0, suspect.refused_until_ms - now_ms)
         return QuarantineUpdate(fingerprint, tuple(suspect.deaths), refused_for_ms)
 
 
-def _forget_pending(suspect: Suspect, now_ms: float) -> None:
-    for key, since_ms in list(suspect.pending.items()):
-        if now_ms - since_ms > PENDING_MS:
+def _expire_pending(suspect: Suspect, now_ms: float) -> None:
+    for key, lost_ms in list(suspect.pending.items()):
+        if now_ms - lost_ms > PENDING_MS:
             del suspect.pending[key]
--- a/azurestep/routing/model.py
+++ b/azurestep/routing/model.py
@@ -37,7 +37,7 @@
     objective_ms: float
     priority: int
     max_attempts: int
-    parts: tuple[WeightedService, ...]
+    weighted_services: tuple[WeightedService, ...]
 
 
 @attrs.frozen(slots=True)
--- a/azurestep/routing/table.py
+++ b/azurestep/routing/table.py
@@ -6,7 +6,7 @@
 
 from .model import Document, Limits, Route, Service, WeightedService
 
-SKIPPED_MOST = 1000
+MAX_SKIPPED_REQUESTS = 1000
 """Requests of a split that are skipped at most before its first one: ten times round
 for weights in whole percents. They take some 0.5 ms, once for each split."""
 
@@ -24,15 +24,15 @@
     ['a', 'a', 'b', 'a']
     """
 
-    parts: tuple[WeightedService, ...]
+    weighted_services: tuple[WeightedService, ...]
     _credit: list[float] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._credit = [0.0] * len(self.parts)
+        self._credit = [0.0] * len(self.weighted_services)
 
     @classmethod
     def with_random_start(
-        cls, parts: tuple[WeightedService, ...], random: Random
+        cls, weighted_services: tuple[WeightedService, ...], random: Random
     ) -> "WeightedRoundRobin":
         """Return a split that begins at a random place of its round.
 
@@ -40,8 +40,8 @@
         weights too: when all began with the largest part, and anew with each version,
         13 nodes never sent any of their first three requests to a part of a tenth.
         """
-        split = cls(parts)
-        for _ in range(random.randrange(SKIPPED_MOST)):
+        split = cls(weighted_services)
+        for _ in range(random.randrange(MAX_SKIPPED_REQUESTS)):
             split.next_service()
         return split
 
@@ -49,13 +49,13 @@
         """Return the service of the next request."""
         total = 0.0
         best = 0
-        for index, part in enumerate(self.parts):
+        for index, part in enumerate(self.weighted_services):
             self._credit[index] += part.weight
             total += part.weight
             if self._credit[index] > self._credit[best]:
                 best = index
         self._credit[best] -= total
-        return self.parts[best].service
+        return self.weighted_services[best].service
 
 
 @attrs.define(slots=True)
@@ -71,10 +71,10 @@
     document: Document
     random: Random
     splits: dict[str, WeightedRoundRobin] = attrs.field(factory=dict)
-    _by_place: dict[tuple[bytes, bytes], Route] = attrs.field(init=False)
+    _routes_by_prefix: dict[tuple[bytes, bytes], Route] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._by_place = {
+        self._routes_by_prefix = {
             (route.host, route.prefix): route for route in self.document.routes
         }
 
@@ -98,7 +98,7 @@
         path = target.partition(b"?")[0]
         end = path.rfind(b"/")
         while end >= 0:
-            route = self._by_place.get((host, path[: end + 1]))
+            route = self._routes_by_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
             end = path.rfind(b"/", 0, end)
@@ -106,16 +106,20 @@
 
     def choose_service(self, route: Route) -> str:
         """Return the service of a route's next request, by the parts' weights."""
-        if len(route.parts) == 1:
-            return route.parts[0].service
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
         split = self.splits.get(route.name)
-        if split is None or split.parts != route.parts:
-            split = WeightedRoundRobin.with_random_start(route.parts, self.random)
+        if split is None or split.weighted_services != route.weighted_services:
+            split = WeightedRoundRobin.with_random_start(
+                route.weighted_services, self.random
+            )
             self.splits[route.name] = split
         return split.next_service()
 
     def updated_to(self, document: Document) -> "RoutingTable":
         """Return the table of a later document, whose splits go on where they are."""
-        names = {route.name for route in document.routes if len(route.parts) > 1}
+        names = {
+            route.name for route in document.routes if len(route.weighted_services) > 1
+        }
         kept = {name: split for name, split in self.splits.items() if name in names}
         return RoutingTable(document, self.random, kept)
--- a/tests/test_mesh_idle.py
+++ b/tests/test_mesh_idle.py
@@ -5,8 +5,8 @@
 import pytest
 
 from azurestep.http.client import (
-    DISTRUST_S,
-    TRUST_LEAST_MS,
+    MIN_REUSE_LIMIT_MS,
+    REUSE_LIMIT_RESET_S,
     ClientConnection,
     IdlePool,
 )
@@ -34,8 +34,8 @@
     idle.reduce_reuse_limit(2000.0, 1.0)
     assert idle.reuse_limit_ms == pytest.approx(180.0)
     idle.reduce_reuse_limit(1.0, 2.0)
-    assert idle.reuse_limit_ms == TRUST_LEAST_MS
-    idle.sweep(2.0 + DISTRUST_S + 0.1)
+    assert idle.reuse_limit_ms == MIN_REUSE_LIMIT_MS
+    idle.sweep(2.0 + REUSE_LIMIT_RESET_S + 0.1)
     assert idle.reuse_limit_ms == 8000.0
 
 
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -102,10 +102,10 @@
 from azurestep.platform.announcement import read_announcement
 from azurestep.platform.client import LogClient
 from azurestep.platform.records import LogRecord, Page, Receipt
-from azurestep.platform.store import StoreClient, split_keyed
+from azurestep.platform.store import StoreClient, parse_keyed_record
 from azurestep.quarantine import QuarantineUpdate, fingerprint
-from azurestep.routing.model import Part
 from azurestep.routing.model import Route as MeshRoute
+from azurestep.routing.model import WeightedService
 from azurestep.status import ExitStatus
 from azurestep.traffic import answers as traffic_answers
 from azurestep.traffic import headers as traffic_headers
@@ -659,9 +659,9 @@
     "failure": OnLink(11, 7, False, mesh.Failure(mesh.Reason(14), 4)),
     "credit": OnLink(12, 7, True, link.Credit(500)),
     "credit_back": OnLink(12, 7, False, link.Credit(501)),
-    "configuration_wanted": OnLink(14, WHOLE_LINK, True, link.ConfigurationWanted()),
-    "ready": OnLink(15, 7, False, link.Ready()),
-    "go": OnLink(16, 7, True, link.Go()),
+    "configuration_wanted": OnLink(14, WHOLE_LINK, True, link.ConfigurationQuery()),
+    "ready": OnLink(15, 7, False, link.SlotReady()),
+    "go": OnLink(16, 7, True, link.Proceed()),
     "withdraw": OnLink(18, 7, True, link.Withdraw()),
 }
 
@@ -696,7 +696,7 @@
 
 def test_configuration_on_a_link() -> None:
     pinned = bytes.fromhex(PINNED["link_configuration"])
-    assert decoded(pinned, False) == [(WHOLE_LINK, link.ConfigurationNews(7, b"{}"))]
+    assert decoded(pinned, False) == [(WHOLE_LINK, link.ConfigurationUpdate(7, b"{}"))]
     packed = msgpack.unpackb(pinned)[2]
     assert mesh.encode(mesh.Kind(13), 7, packed).hex() == pinned.hex()
     assert zlib.decompress(mesh.compress(b"{}")) == b"{}"
@@ -706,7 +706,7 @@
     pinned = bytes.fromhex(PINNED["link_crashes"])
     rows = crashes.encode_updates(CRASHES)
     assert mesh.encode(mesh.Kind(17), "songs", rows).hex() == pinned.hex()
-    assert decoded(pinned, False) == [(WHOLE_LINK, link.CrashNews("songs", CRASHES))]
+    assert decoded(pinned, False) == [(WHOLE_LINK, link.CrashReport("songs", CRASHES))]
 
 
 def test_every_kind_of_link_message_is_pinned() -> None:
@@ -810,7 +810,7 @@
     names = [value for value in values if isinstance(value, str)]
     check("header_names", sorted(names))
     check("headers_of_one_connection", traffic_headers.HOP_BY_HOP)
-    check("headers_of_one_connection_platform", platform_headers.ONE_CONNECTION)
+    check("headers_of_one_connection_platform", platform_headers.HOP_BY_HOP)
 
 
 def shown(answer: web.Response) -> Any:
@@ -970,14 +970,14 @@
     found = [
         await client.read(topic, 5, 0),
         await client.read(topic, 1, 1500),
-        await client.newest(topic),
+        await client.read_latest(topic),
     ]
     client.close()
     items = [outcomes.KeyedRecord("a/b", b"ab", 4), outcomes.KeyedRecord("c", b"", 5)]
     assert found == [
         outcomes.Records([b"ab", b"c"], 7),
-        outcomes.Forgotten(3),
-        outcomes.Newest(items, 7, 1),
+        outcomes.Truncated(3),
+        outcomes.LatestRecords(items, 7, 1),
     ]
     check("store_reads", recorder.requests)
     check("store_read_kinds", kinds)
@@ -987,7 +987,7 @@
     check("member_record", members.write_member(7102))
     pinned = PINNED["member_record"].encode()
     assert members.read_member("10.1.0.4", pinned) == ("10.1.0.4", 7102)
-    keyed = split_keyed(b"\x02abvalue")
+    keyed = parse_keyed_record(b"\x02abvalue")
     assert keyed is not None
     assert attrs.astuple(keyed) == ("ab", b"value")
 
@@ -1385,7 +1385,7 @@
 
 def test_places_of_faults() -> None:
     """They are a label of a metric and a field of log lines."""
-    functions = ("contain", "_contain", "fault", "fault_of")
+    functions = ("run_guarded", "_contain", "report_fault", "fault_handler")
     places = [call.args[0] for _, call in calls_of(*functions) if call.args]
     for _, call in calls_of("partial"):
         if name_of(call.args[0]) in functions:
@@ -1443,7 +1443,9 @@
 
 
 def test_fields_of_faults() -> None:
-    keywords = {one.arg for _, call in calls_of("fault") for one in call.keywords}
+    keywords = {
+        one.arg for _, call in calls_of("report_fault") for one in call.keywords
+    }
     check("fault_fields", keywords)
 
 
@@ -1515,7 +1517,7 @@
     700.0,
     3,
     2,
-    (Part("songs", 1.0),),
+    (WeightedService("songs", 1.0),),
 )
 
 
@@ -1539,7 +1541,7 @@
     runtime = Runtime(Mock(), Random(1))
 
     def act() -> None:
-        runtime.fault("run", ValueError("no"), id=b"q1")
+        runtime.report_fault("run", ValueError("no"), id=b"q1")
 
     [line] = written(act)
     assert "ValueError" in line.pop("traceback")
@@ -1657,7 +1659,7 @@
         configuration.RECORD_FORMAT,
         audit.FORMAT,
         model.FORMAT,
-        mesh.FORMAT,
+        mesh.PROTOCOL_VERSION,
         members.FORMAT,
     )
     check("formats", formats)
