--- a/tests/test_mesh_foreign_records.py
+++ b/tests/test_mesh_foreign_records.py
@@ -18,7 +18,7 @@
 from .test_mesh_faults import eventually
 
 TARGET = "/v1/instances/i-1/heartbeat"
-BEAT = {
+HEARTBEAT = {
     "address": "10.1.0.4:8080",
     "information": {"service": "shop", "version": "v1", "zone": "dc-1", "slots": 4},
     "status": {"state": "ready", "sequence": 7, "cold_remaining": "0ms"},
@@ -36,11 +36,11 @@
     ("status", "sequence"),
     ("status", "cold_remaining"),
 ]
-OF_ANOTHER_TYPE = [True, None, [], {}, 1.5, -3, 10**30, "", "12", "\u0000"]
+VALUES_OF_WRONG_TYPE = [True, None, [], {}, 1.5, -3, 10**30, "", "12", "\u0000"]
 
 
-def changed(path: tuple[str, ...], value: object) -> bytes:
-    beat = json.loads(json.dumps(BEAT))
+def with_field(path: tuple[str, ...], value: object) -> bytes:
+    beat = json.loads(json.dumps(HEARTBEAT))
     holder = beat
     for name in path[:-1]:
         holder = holder[name]
@@ -51,39 +51,37 @@
     return json.dumps(beat).encode()
 
 
-def test_an_announcement_as_agreed_is_read() -> None:
-    found = read_announcement(TARGET, json.dumps(BEAT).encode())
+def test_valid_heartbeat_is_parsed() -> None:
+    found = read_announcement(TARGET, json.dumps(HEARTBEAT).encode())
     assert found == Heartbeat("i-1", "shop", 7, 4, False, 0.0, 1_764_000_000_000)
 
 
-def test_new_fields_are_ignored() -> None:
-    body = json.dumps({**BEAT, "more": {"a": [1]}}).encode()
+def test_unknown_fields_are_ignored() -> None:
+    body = json.dumps({**HEARTBEAT, "more": {"a": [1]}}).encode()
     assert read_announcement(TARGET, body).instance_id == "i-1"
 
 
 @pytest.mark.parametrize("path", FIELDS)
-def test_a_missing_field_is_refused(path: tuple[str, ...]) -> None:
+def test_missing_field_is_rejected(path: tuple[str, ...]) -> None:
     with pytest.raises(MessageMalformedError):
-        read_announcement(TARGET, changed(path, KeyError))
+        read_announcement(TARGET, with_field(path, KeyError))
 
 
 @pytest.mark.parametrize("path", [*FIELDS, ("born",)])
-@pytest.mark.parametrize("value", OF_ANOTHER_TYPE, ids=repr)
-def test_a_field_of_another_type_is_refused(
-    path: tuple[str, ...], value: object
-) -> None:
+@pytest.mark.parametrize("value", VALUES_OF_WRONG_TYPE, ids=repr)
+def test_field_of_wrong_type_is_rejected(path: tuple[str, ...], value: object) -> None:
     if path[-1] in ("version", "zone") and isinstance(value, str):
         return
     if path[-1] == "service" and value in ("12", "\u0000"):
         return
     with pytest.raises(MessageMalformedError):
-        read_announcement(TARGET, changed(path, value))
+        read_announcement(TARGET, with_field(path, value))
 
 
 @pytest.mark.parametrize("state", ["Ready", "leaving", "draining "])
-def test_an_unknown_state_is_refused(state: str) -> None:
+def test_unknown_state_is_rejected(state: str) -> None:
     with pytest.raises(MessageMalformedError):
-        read_announcement(TARGET, changed(("status", "state"), state))
+        read_announcement(TARGET, with_field(("status", "state"), state))
 
 
 @pytest.mark.parametrize(
@@ -99,12 +97,12 @@
     ids=["bytes", "cut", "list", "null", "NaN", "deep"],
 )
 @pytest.mark.parametrize("verb", ["heartbeat", "deregister"])
-def test_a_body_that_can_not_be_read_is_refused(verb: str, body: bytes) -> None:
+def test_malformed_body_is_rejected(verb: str, body: bytes) -> None:
     with pytest.raises(MessageMalformedError):
         read_announcement(f"/v1/instances/i-1/{verb}", body)
 
 
-def test_a_leaving_notice_tells_its_start_or_not() -> None:
+def test_start_time_of_leaving_notice_is_optional() -> None:
     target = "/v1/instances/i-1/deregister"
     assert read_announcement(target, b"") == LeavingNotice("i-1")
     assert read_announcement(target, b"{}") == LeavingNotice("i-1")
@@ -122,7 +120,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_or_refused(body: bytes) -> None:
+def test_arbitrary_bytes_are_parsed_or_rejected(body: bytes) -> None:
     for verb in ("heartbeat", "deregister"):
         try:
             read_announcement(f"/v1/instances/i-1/{verb}", body)
@@ -131,11 +129,11 @@
 
 
 @given(st.sampled_from([*FIELDS, ("born",)]), JSON_VALUES)
-def test_any_value_is_taken_as_it_is_typed_or_refused(
+def test_accepted_values_have_the_declared_types(
     path: tuple[str, ...], value: object
 ) -> None:
     try:
-        found = read_announcement(TARGET, changed(path, value))
+        found = read_announcement(TARGET, with_field(path, value))
     except MessageMalformedError:
         return
     assert isinstance(found, Heartbeat)
@@ -151,12 +149,12 @@
         return answer.status
 
 
-async def test_foreign_announcements_are_refused_and_the_server_serves_on(
+async def test_malformed_announcements_do_not_affect_the_backend_server(
     mesh: MeshFleet,
 ) -> None:
     instance = mesh.instances[0]
-    unknown_service = changed(("information", "service"), "elsewhere")
-    unknown_state = changed(("status", "state"), "zombie")
+    unknown_service = with_field(("information", "service"), "elsewhere")
+    unknown_state = with_field(("status", "state"), "zombie")
     for body in (b"\xff", unknown_service, unknown_state):
         for name in ("i-1", "i-9"):
             assert await announce(mesh.session, instance.host, name, body) == 400
@@ -165,7 +163,7 @@
     assert not backend.doubted_id
 
 
-async def test_a_service_that_was_known_may_leave_after_it_was_dropped(
+async def test_backend_server_can_leave_after_its_service_was_removed(
     mesh: MeshFleet,
 ) -> None:
     instance = mesh.instances[0]
@@ -179,7 +177,7 @@
     assert instance.node.backend.is_leaving()
 
 
-BAD_MEMBERS = [
+MALFORMED_MEMBERS = [
     ("10.9.9.1", b"\xff\xfe"),
     ("10.9.9.2", b"[]"),
     ("10.9.9.3", b'{"format": 1}'),
@@ -192,10 +190,10 @@
 ]
 
 
-async def test_foreign_records_among_the_members_hide_nobody(
+async def test_malformed_member_records_do_not_hide_other_nodes(
     mesh_store: StoreStandIn, mesh: MeshFleet
 ) -> None:
-    for key, value in BAD_MEMBERS:
+    for key, value in MALFORMED_MEMBERS:
         mesh_store.put(MEMBERS_TOPIC, key, value)
     mesh_store.raw_items.append({"key": 5, "value": "eA==", "offset": 1})
     mesh_store.raw_items.append({"key": "10.9.9.10", "value": "*", "offset": 1})
@@ -213,7 +211,7 @@
     assert known == {item.host for item in mesh.instances[:2]}
 
 
-async def test_foreign_records_in_the_configuration_topic_stop_no_reader(
+async def test_malformed_configuration_records_are_skipped(
     mesh_store: StoreStandIn, mesh: MeshFleet
 ) -> None:
     topic = mesh_store.topic(OPERATOR_TOPIC)
@@ -227,7 +225,7 @@
     )
 
 
-async def test_a_good_version_behind_a_foreign_record_is_taken(
+async def test_valid_version_before_a_malformed_record_is_applied(
     mesh_store: StoreStandIn, mesh: MeshFleet
 ) -> None:
     mesh_store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, document(8))
--- a/tests/test_mesh_headers.py
+++ b/tests/test_mesh_headers.py
@@ -3,7 +3,7 @@
 from azurestep.platform.headers import read_answer, read_caller, to_backend
 
 
-def test_headers_of_one_connection_and_forged_ones_are_dropped() -> None:
+def test_hop_by_hop_and_forged_headers_are_dropped() -> None:
     caller = read_caller(
         [
             (b"Host", b"Shop.example"),
@@ -25,19 +25,19 @@
     ]
 
 
-def test_an_unreadable_deadline_is_none() -> None:
+def test_invalid_deadline_is_ignored() -> None:
     for value in (b"", b"-1", b"1e9", b"soon"):
         assert read_caller([(b"Deadline-Milliseconds", value)]).remaining_ms is None
 
 
-def test_the_backend_server_learns_what_is_left() -> None:
+def test_backend_server_gets_the_remaining_time() -> None:
     lines = b"".join(to_backend([(b"A", b"b")], 512.7, b"i-1", b"shop"))
     assert b"Deadline-Milliseconds: 512\r\n" in lines
     assert b"Expected-Instance: i-1\r\n" in lines
     assert b"Calling-Service: shop\r\n" in lines
 
 
-def test_an_answer_is_read() -> None:
+def test_answer_headers_are_parsed() -> None:
     answer = read_answer(
         [
             (b"Attempt-Id", b"a1"),
--- a/tests/test_mesh_incarnations.py
+++ b/tests/test_mesh_incarnations.py
@@ -17,7 +17,7 @@
 
 DRAIN_MS = 2000.0
 FIRST = Heartbeat("i-1", "shop", 40, 4, False, 0.0, started_ms=1_000)
-AGAIN = Heartbeat("i-1", "shop", 1, 6, False, 500.0, started_ms=9_000)
+RESTARTED = Heartbeat("i-1", "shop", 1, 6, False, 500.0, started_ms=9_000)
 """The same id, started later: its heartbeats count from one."""
 
 
@@ -28,23 +28,25 @@
     return backend
 
 
-def test_a_later_start_is_another_incarnation(backend: Backend) -> None:
-    backend.announce(AGAIN, 10.0)
+def test_later_start_is_a_new_incarnation(backend: Backend) -> None:
+    backend.announce(RESTARTED, 10.0)
     assert backend.incarnation == Incarnation(b"i-1", 9_000)
     assert backend.slots == 6
     assert backend.cold_remaining_ms(10.0) == 500.0
 
 
-def test_heartbeats_count_anew(backend: Backend) -> None:
-    backend.announce(AGAIN, 10.0)
-    backend.announce(attrs.evolve(AGAIN, sequence=2, slots=7), 20.0)
+def test_heartbeat_sequence_restarts_with_a_new_incarnation(backend: Backend) -> None:
+    backend.announce(RESTARTED, 10.0)
+    backend.announce(attrs.evolve(RESTARTED, sequence=2, slots=7), 20.0)
     assert backend.slots == 7
 
 
-def test_leaving_of_the_earlier_start_does_not_hold(backend: Backend) -> None:
+def test_leaving_of_an_earlier_incarnation_does_not_affect_the_new_one(
+    backend: Backend,
+) -> None:
     backend.announce(attrs.evolve(FIRST, sequence=41, leaving=True), 10.0)
     assert not backend.is_open()
-    backend.announce(AGAIN, 20.0)
+    backend.announce(RESTARTED, 20.0)
     assert backend.is_open()
     assert backend.admits(20.0 + 2 * DRAIN_MS)
 
@@ -56,56 +58,60 @@
         attrs.evolve(FIRST, sequence=99, leaving=True),
     ],
 )
-def test_a_late_heartbeat_of_the_earlier_start_changes_nothing(
+def test_late_heartbeat_of_an_earlier_incarnation_is_ignored(
     backend: Backend, late: Heartbeat
 ) -> None:
-    backend.announce(AGAIN, 10.0)
+    backend.announce(RESTARTED, 10.0)
     backend.announce(late, 20.0)
     assert backend.is_open()
     assert backend.slots == 6
 
 
-def test_a_late_leaving_notice_of_the_earlier_start_changes_nothing(
+def test_late_leaving_notice_of_an_earlier_incarnation_is_ignored(
     backend: Backend,
 ) -> None:
-    backend.announce(AGAIN, 10.0)
+    backend.announce(RESTARTED, 10.0)
     backend.leave(LeavingNotice("i-1", started_ms=1_000), 20.0)
     assert backend.is_open()
     backend.leave(LeavingNotice("i-1", started_ms=9_000), 30.0)
     assert not backend.is_open()
 
 
-def test_an_ended_mark_of_the_earlier_start_does_not_hold(backend: Backend) -> None:
+def test_end_of_an_earlier_incarnation_does_not_affect_the_new_one(
+    backend: Backend,
+) -> None:
     backend.mark_gone(Incarnation(b"i-1", 1_000))
     backend.announce(attrs.evolve(FIRST, sequence=50), 10.0)
     assert not backend.is_open()
-    backend.announce(AGAIN, 20.0)
+    backend.announce(RESTARTED, 20.0)
     assert backend.is_open()
 
 
-def test_news_that_the_earlier_start_is_gone_leaves_the_later_one(
+def test_late_end_of_an_earlier_incarnation_keeps_the_new_one(
     backend: Backend,
 ) -> None:
-    backend.announce(AGAIN, 10.0)
+    backend.announce(RESTARTED, 10.0)
     backend.mark_gone(Incarnation(b"i-1", 1_000))
     assert backend.is_open()
 
 
-def test_a_start_that_leaves_first_of_all_is_bound_from_then_on() -> None:
+def test_incarnation_first_seen_leaving_gets_no_requests() -> None:
     backend = Backend(DRAIN_MS)
     backend.announce(attrs.evolve(FIRST, leaving=True), 10.0)
     assert not backend.admits(10.0)
-    backend.announce(AGAIN, 20.0)
+    backend.announce(RESTARTED, 20.0)
     assert backend.is_open()
 
 
-def test_a_notice_without_a_start_concerns_the_newest_one(backend: Backend) -> None:
-    backend.announce(AGAIN, 10.0)
+def test_leaving_notice_without_start_affects_the_newest_incarnation(
+    backend: Backend,
+) -> None:
+    backend.announce(RESTARTED, 10.0)
     backend.leave(LeavingNotice("i-1"), 20.0)
     assert not backend.is_open()
 
 
-def test_without_starts_all_is_as_before() -> None:
+def test_heartbeats_without_start_are_ordered_by_sequence() -> None:
     backend = Backend(DRAIN_MS)
     plain = attrs.evolve(FIRST, started_ms=None)
     backend.announce(plain, 0.0)
@@ -114,7 +120,7 @@
     assert backend.incarnation == Incarnation(b"i-1")
 
 
-def test_a_start_learned_after_a_probe_is_no_other_incarnation() -> None:
+def test_start_announced_after_a_probe_is_the_same_incarnation() -> None:
     backend = Backend(DRAIN_MS)
     backend.discover("i-1", "shop", 4)
     before = backend.incarnation
@@ -135,7 +141,7 @@
 
 
 @given(STEPS)
-def test_the_newest_start_rules_and_a_leaving_is_never_taken_back(
+def test_newest_incarnation_wins_and_leaving_is_final(
     steps: list[tuple[int, int, bool, bool]],
 ) -> None:
     backend = Backend(DRAIN_MS)
@@ -157,7 +163,7 @@
             assert backend.incarnation.started_ms == newest
 
 
-def test_two_deaths_under_one_id_are_two_deaths() -> None:
+def test_deaths_of_two_incarnations_with_one_id_count_twice() -> None:
     watch = CrashWatch("127.0.0.1", servers=lambda service: 6)
     for now_ms, started_ms in ((0.0, 1_000), (20.0, 9_000)):
         request = attrs.evolve(crash_request(), server_started_ms=started_ms)
@@ -179,7 +185,7 @@
         return answer.status
 
 
-async def test_a_server_that_started_again_is_used_by_all_nodes(
+async def test_restarted_server_is_used_by_all_nodes(
     mesh: MeshFleet,
 ) -> None:
     for index in range(3):
--- a/tests/test_mesh_lines.py
+++ b/tests/test_mesh_lines.py
@@ -8,7 +8,7 @@
 from azurestep.mesh.line_writer import BUFFER_LINES, BURST_LINES, LineWriter
 
 
-def test_a_flood_is_cut_and_counted() -> None:
+def test_lines_above_the_rate_are_dropped_and_counted() -> None:
     reader, writer_end = os.pipe()
     os.set_blocking(writer_end, False)
     now_s = 0.0
@@ -24,7 +24,7 @@
     assert [line["lines"] for line in lines if line["event"] == 9006] == [50]
 
 
-def test_an_error_is_written_above_the_rate() -> None:
+def test_errors_are_written_above_the_rate() -> None:
     writer = LineWriter(clock=lambda: 0.0)
     for index in range(int(BURST_LINES) + 1):
         writer.add(events.CALL_ENDED, {"id": index})
@@ -33,7 +33,7 @@
     assert writer.dropped == dropped
 
 
-def test_a_reader_that_stands_still_blocks_nothing() -> None:
+def test_blocked_reader_does_not_block_the_writer() -> None:
     _, writer_end = os.pipe()
     now_s = 0.0
     writer = LineWriter(writer_end, clock=lambda: now_s)
--- a/tests/test_mesh_routes.py
+++ b/tests/test_mesh_routes.py
@@ -22,7 +22,7 @@
     return orjson.dumps(plain)
 
 
-def test_the_longest_prefix_wins() -> None:
+def test_longest_prefix_matches() -> None:
     document = read_document(with_route(path_prefix="/read/deep/", service="shop"))
     table = RoutingTable(document, Random(1))
     assert table.match(b"shop.example", b"/read/deep/1").name == "more"  # type: ignore[union-attr]
@@ -31,7 +31,7 @@
     assert table.match(b"other.example", b"/read/1") is None
 
 
-def test_a_split_deals_by_weight() -> None:
+def test_split_follows_the_weights() -> None:
     split = WeightedRoundRobin((WeightedService("a", 90), WeightedService("b", 10)))
     taken = [split.next_service() for _ in range(100)]
     assert taken.count("b") == 10
@@ -69,26 +69,26 @@
 @pytest.mark.parametrize(("nodes", "requests"), [(61, 5), (13, 24), (25, 12)])
 @pytest.mark.parametrize(("a", "b"), [(90, 10), (70, 30), (1, 1)])
 @pytest.mark.parametrize("seed", [1, 1000, 2000])
-def test_shares_are_near_the_weights_with_few_requests_at_each_node(
+def test_shares_match_weights_with_few_requests_at_each_node(
     nodes: int, requests: int, a: float, b: float, seed: int
 ) -> None:
     share = split_share(nodes, requests, a, b, seed)
     assert abs(share - b / (a + b)) < 0.1
 
 
-def test_the_requests_of_one_node_are_near_the_weights_after_ten() -> None:
+def test_shares_of_one_node_match_weights_after_ten_requests() -> None:
     for seed in range(50):
         assert abs(split_share(1, 10, 70, 30, seed) - 0.3) < 0.11
 
 
-def test_a_part_without_weight_gets_nothing() -> None:
+def test_service_with_zero_weight_gets_no_requests() -> None:
     split = WeightedRoundRobin.with_random_start(
         (WeightedService("a", 1), WeightedService("b", 0)), Random(3)
     )
     assert {split.next_service() for _ in range(200)} == {"a"}
 
 
-FAULTY = {
+INVALID_FIELDS = {
     "version of another type": {"version": "7"},
     "version is a bool": {"version": True},
     "a route without a host": {"routes": {"r": {"path_prefix": "/", "service": "s"}}},
@@ -98,8 +98,8 @@
 }
 
 
-@pytest.mark.parametrize("change", FAULTY.values(), ids=FAULTY.keys())
-def test_a_document_with_a_fault_is_refused_whole(change: dict[str, object]) -> None:
+@pytest.mark.parametrize("change", INVALID_FIELDS.values(), ids=INVALID_FIELDS.keys())
+def test_document_with_an_invalid_field_is_rejected(change: dict[str, object]) -> None:
     with pytest.raises(ConfigurationError):
         read_document(orjson.dumps({**orjson.loads(document(7)), **change}))
 
@@ -121,29 +121,29 @@
         {"traffic_split": [{"service": "nowhere", "weight": 1}]},
     ],
 )
-def test_a_route_with_a_fault_refuses_the_document(fields: dict[str, object]) -> None:
+def test_document_with_an_invalid_route_is_rejected(fields: dict[str, object]) -> None:
     with pytest.raises(ConfigurationError):
         read_document(with_route(**fields))
 
 
-def test_a_version_beyond_all_numbers_is_refused() -> None:
+def test_version_out_of_range_is_rejected() -> None:
     with pytest.raises(ConfigurationError):
         read_document(document(7).replace(b'"version":7', b'"version":1%030d' % 0))
 
 
 @given(st.binary(max_size=200) | st.text(max_size=200).map(str.encode))
-def test_bytes_that_are_no_document_are_refused(content: bytes) -> None:
+def test_arbitrary_bytes_are_rejected(content: bytes) -> None:
     with pytest.raises(ConfigurationError):
         read_document(content)
 
 
-def test_deep_nesting_is_refused() -> None:
+def test_deep_nesting_is_rejected() -> None:
     deep = b"[" * 100_000 + b"]" * 100_000
     with pytest.raises(ConfigurationError):
         read_document(document(7)[:-1] + b',"x":' + deep + b"}")
 
 
-def test_new_fields_are_ignored() -> None:
+def test_unknown_fields_are_ignored() -> None:
     assert read_document(document(7, more={"a": [1]})).version == 7
 
 
@@ -151,7 +151,7 @@
     ("kind", "idempotent"),
     [("safe", True), ("download", True), ("unsafe", False), ("upload", False)],
 )
-def test_reads_and_downloads_may_run_again(kind: str, idempotent: bool) -> None:
+def test_only_reads_and_downloads_are_idempotent(kind: str, idempotent: bool) -> None:
     table = RoutingTable(
         read_document(with_route(route_kind=kind, path_prefix="/more/")), Random(1)
     )
@@ -164,7 +164,7 @@
     "content",
     [b"{", b"[]", b'{"version": 1}', with_route(timeout="5 minutes")],
 )
-def test_an_unreadable_document_is_refused_and_the_former_one_stays(
+def test_invalid_document_is_rejected_and_the_previous_one_kept(
     content: bytes,
 ) -> None:
     configuration = Configuration(lambda table: None)
@@ -175,9 +175,9 @@
     assert configuration.version == 3
 
 
-def test_versions_never_go_back() -> None:
-    seen: list[int] = []
-    configuration = Configuration(lambda table: seen.append(table.version))
+def test_older_versions_are_ignored() -> None:
+    versions: list[int] = []
+    configuration = Configuration(lambda table: versions.append(table.version))
     for version in (3, 7, 5, 7, 9):
         configuration.offer(document(version), "test")
-    assert seen == [3, 7, 9]
+    assert versions == [3, 7, 9]
--- a/tests/test_mesh_settings.py
+++ b/tests/test_mesh_settings.py
@@ -37,7 +37,7 @@
     return fields
 
 
-def test_the_template_renders_settings_that_are_taken() -> None:
+def test_rendered_template_is_valid() -> None:
     settings = decode_settings(rendered())
     assert settings.caller_address == ("10.1.0.4", 8629)
     assert settings.peer_address == ("10.1.0.4", 8624)
@@ -56,19 +56,19 @@
         ("metrics_port", "x"),
     ],
 )
-def test_a_wrong_field_is_named_with_a_remedy(field: str, value: object) -> None:
+def test_invalid_field_is_rejected_with_a_remedy(field: str, value: object) -> None:
     with pytest.raises(SettingsError) as error:
         decode_settings({**rendered(), field: value})
     assert error.value.remedy
 
 
-def test_a_missing_field_is_refused() -> None:
+def test_missing_field_is_rejected() -> None:
     for field in rendered():
         with pytest.raises(SettingsError):
             decode_settings({k: v for k, v in rendered().items() if k != field})
 
 
-def test_a_file_that_is_no_json_is_refused(tmp_path: pathlib.Path) -> None:
+def test_invalid_json_and_missing_file_are_rejected(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "settings.json"
     path.write_text("node: 1")
     with pytest.raises(SettingsError):
--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -36,12 +36,12 @@
     client.close()
 
 
-async def test_what_was_appended_is_read_back(client: StoreClient) -> None:
+async def test_appended_records_are_read_back(client: StoreClient) -> None:
     assert await client.append(TOPIC, [b"a", b"bc"]) == Appended(0, 2)
     assert await client.read(TOPIC, 0, 0) == Records([b"a", b"bc"], 2)
 
 
-async def test_a_condition_that_does_not_hold_is_a_conflict(
+async def test_append_at_another_offset_is_a_conflict(
     client: StoreClient,
 ) -> None:
     await client.append(TOPIC, [b"a"])
@@ -49,13 +49,15 @@
     assert await client.append(TOPIC, [b"b"], at=1) == Appended(1, 2)
 
 
-async def test_a_repeated_append_stands_once(client: StoreClient) -> None:
+async def test_repeated_append_is_stored_once(client: StoreClient) -> None:
     first = await client.append(TOPIC, [b"a"], producer=Producer("p", 7, 0))
     assert await client.append(TOPIC, [b"a"], producer=Producer("p", 7, 0)) == first
     assert await client.read(TOPIC, 0, 0) == Records([b"a"], 1)
 
 
-async def test_a_gap_and_an_earlier_epoch_are_told_apart(client: StoreClient) -> None:
+async def test_sequence_gap_and_earlier_epoch_are_distinguished(
+    client: StoreClient,
+) -> None:
     await client.append(TOPIC, [b"a"], producer=Producer("p", 7, 0))
     gap = await client.append(TOPIC, [b"c"], producer=Producer("p", 7, 2))
     assert gap == OutOfSequence(1)
@@ -63,7 +65,7 @@
     assert older == Fenced()
 
 
-async def test_forgotten_history_names_its_beginning(
+async def test_read_of_truncated_log_returns_its_first_offset(
     client: StoreClient, mesh_store: StoreStandIn
 ) -> None:
     await client.append(TOPIC, [b"a", b"b"])
@@ -71,7 +73,7 @@
     assert await client.read(TOPIC, 0, 0) == Truncated(2)
 
 
-async def test_pages_of_keys_are_joined(
+async def test_all_pages_of_keys_are_read(
     client: StoreClient, mesh_store: StoreStandIn
 ) -> None:
     mesh_store.page_items = 2
@@ -93,7 +95,7 @@
         (Trouble.LATE, Unanswered),
     ],
 )
-async def test_each_trouble_is_a_typed_outcome(
+async def test_each_failure_is_a_typed_outcome(
     client: StoreClient, mesh_store: StoreStandIn, trouble: Trouble, outcome: object
 ) -> None:
     mesh_store.trouble = trouble
@@ -104,7 +106,7 @@
         assert found == outcome
 
 
-async def test_only_the_refused_caller_is_turned_away(
+async def test_store_rejects_only_refused_hosts(
     client: StoreClient, mesh_store: StoreStandIn
 ) -> None:
     mesh_store.refused_hosts.add("127.0.0.1")
@@ -113,7 +115,7 @@
     assert await client.append(TOPIC, [b"a"]) == Appended(0, 1)
 
 
-async def test_a_node_that_stops_drops_its_address(mesh: MeshFleet) -> None:
+async def test_stopping_node_deletes_its_member_record(mesh: MeshFleet) -> None:
     known = mesh.store.topic(MEMBERS_TOPIC).newest
     assert len(known) == 3
     stopping = mesh.instances[0]
@@ -121,7 +123,7 @@
     await eventually(lambda: stopping.host not in known)
 
 
-async def test_a_late_drop_leaves_what_the_next_process_wrote(
+async def test_late_deletion_keeps_the_record_of_the_next_process(
     mesh: MeshFleet,
 ) -> None:
     instance = mesh.instances[0]
--- a/tests/test_platform_silent.py
+++ b/tests/test_platform_silent.py
@@ -7,10 +7,10 @@
 from standins.serving import Address
 from standins.silent_proxy import Direction, Faults, SilentProxy
 
-IN_FORCE_EVERYWHERE_MS = 17_000
+PROPAGATION_LIMIT_MS = 17_000
 
 
-async def test_silent_poll_ends_and_the_next_read_takes_a_new_connection(
+async def test_unanswered_poll_times_out_and_the_next_read_reconnects(
     http, log, monkeypatch
 ):
     monkeypatch.setattr(platform_client, "READ_TIMEOUT_MS", 300)
@@ -34,7 +34,7 @@
     assert opened == 2
 
 
-def test_silent_poll_ends_well_before_a_version_must_be_in_force():
+def test_poll_timeout_is_well_below_the_propagation_limit():
     limit_ms = ControlSettings().poll_wait_ms + platform_client.READ_TIMEOUT_MS
 
-    assert limit_ms < IN_FORCE_EVERYWHERE_MS * 2 / 3
+    assert limit_ms < PROPAGATION_LIMIT_MS * 2 / 3
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -7,7 +7,7 @@
 import pytest
 
 PACKAGE = pathlib.Path(__file__).parents[1] / "azurestep"
-ROOMS = {
+LAYERS = {
     "http": {"routing"},
     "routing": set(),
     "platform": {"http", "routing"},
@@ -26,7 +26,7 @@
     },
 }
 """Each room and the rooms below it; what stands in ``mesh`` itself is shared by all."""
-WITHOUT_SOCKETS = {"asyncio", "socket", "uvloop", "time", "httptools", "os"}
+FORBIDDEN_IN_DECISIONS = {"asyncio", "socket", "uvloop", "time", "httptools", "os"}
 """What a decision has no business with: time and chance come in as arguments."""
 
 
@@ -46,26 +46,26 @@
     return found
 
 
-def modules(room: str) -> list[pathlib.Path]:
-    return sorted((PACKAGE / room.replace(".", "/")).glob("*.py"))
+def modules(layer: str) -> list[pathlib.Path]:
+    return sorted((PACKAGE / layer.replace(".", "/")).glob("*.py"))
 
 
-def room_of(module: str) -> str | None:
+def layer_of(module: str) -> str | None:
     names = [
-        room for room in [*ROOMS, "mesh"] if module.startswith(f"azurestep.{room}.")
+        layer for layer in [*LAYERS, "mesh"] if module.startswith(f"azurestep.{layer}.")
     ]
     return max(names, key=len, default=None)
 
 
-@pytest.mark.parametrize("room", ROOMS)
-def test_a_room_imports_only_rooms_below_it(room: str) -> None:
-    for path in modules(room):
-        used = {room_of(module) for module in imports_of(path)} - {None, room}
-        assert used <= ROOMS[room], path
+@pytest.mark.parametrize("layer", LAYERS)
+def test_layer_imports_only_lower_layers(layer: str) -> None:
+    for path in modules(layer):
+        used = {layer_of(module) for module in imports_of(path)} - {None, layer}
+        assert used <= LAYERS[layer], path
 
 
-def test_no_two_modules_import_one_another() -> None:
-    paths = [path for room in [*ROOMS, "mesh"] for path in modules(room)]
+def test_modules_have_no_import_cycles() -> None:
+    paths = [path for layer in [*LAYERS, "mesh"] for path in modules(layer)]
     names = {
         "azurestep." + ".".join(path.relative_to(PACKAGE).with_suffix("").parts): path
         for path in paths
@@ -75,6 +75,6 @@
     assert list(graphlib.TopologicalSorter(graph).static_order())
 
 
-def test_decisions_know_no_sockets_and_no_clock() -> None:
+def test_decisions_do_no_io_and_read_no_clock() -> None:
     for path in modules("mesh.decisions"):
-        assert not imports_of(path) & WITHOUT_SOCKETS, path
+        assert not imports_of(path) & FORBIDDEN_IN_DECISIONS, path
--- a/tests/test_start_costs.py
+++ b/tests/test_start_costs.py
@@ -34,7 +34,7 @@
     return Probe(1, membership.digest, table_hash)
 
 
-def _news(outputs: list[Output]) -> list[Update]:
+def _updates_in_ack(outputs: list[Output]) -> list[Update]:
     """Return the updates of the only answer among the outputs."""
     sends = [output for output in outputs if isinstance(output, Send)]
     (answer,) = [send.message for send in sends if isinstance(send.message, Ack)]
@@ -47,22 +47,25 @@
     return Membership(_member(0), [], ControlSettings(), random.Random(1))
 
 
-def test_a_starting_node_does_not_pass_on_what_its_first_peer_told(membership):
+def test_starting_node_does_not_relay_members_from_its_first_peer(membership):
     members = [_member(index) for index in range(1, MEMBERS)]
     membership.handle(SyncReply(members), PEER, 0.0)
-    told = set()
+    relayed = set()
     for _ in range(50):
         probe = _probe_with_digests_of(membership)
-        told |= {update.instance for update in _news(membership.handle(probe, PEER, 0))}
-    assert told == {"i-00"}
+        relayed |= {
+            update.instance
+            for update in _updates_in_ack(membership.handle(probe, PEER, 0))
+        }
+    assert relayed == {"i-00"}
     assert len(membership.order) == MEMBERS
 
 
-def test_a_node_that_knows_others_passes_on_what_is_new_to_it(membership):
+def test_running_node_relays_new_members(membership):
     membership.handle(SyncReply([_member(1)]), PEER, 0.0)
     membership.handle(SyncReply([_member(2)]), PEER, 0.0)
     outputs = membership.handle(_probe_with_digests_of(membership), PEER, 0.0)
-    assert "i-02" in {update.instance for update in _news(outputs)}
+    assert "i-02" in {update.instance for update in _updates_in_ack(outputs)}
 
 
 @pytest.fixture
@@ -73,7 +76,7 @@
     await service.links.close()
 
 
-async def test_a_report_does_not_rebuild_the_directory(control):
+async def test_report_does_not_rebuild_the_directory(control):
     control._refresh_directory(0.0)
     before = control.traffic.qsize()
     report = DataCentreReport("dc-2", 1, "b", 1, b"", 1, 1, [], 0, 0)
@@ -82,7 +85,7 @@
     assert control.traffic.qsize() == before
 
 
-async def test_a_summary_rebuilds_the_directory(control):
+async def test_summary_rebuilds_the_directory(control):
     control._refresh_directory(0.0)
     before = control.traffic.qsize()
     server = ServerState("catalogue", "127.0.0.1", 9, "x", 12)
--- a/tests/test_suspect_requests.py
+++ b/tests/test_suspect_requests.py
@@ -24,7 +24,7 @@
     return ControlService(settings, Environment(), asyncio.Queue())
 
 
-def test_what_one_node_noticed_reaches_the_proxy_of_another(
+def test_suspects_of_one_node_reach_the_proxy_of_another(
     control: ControlService,
 ) -> None:
     own = control.membership.own
@@ -35,7 +35,7 @@
     assert learned == QuarantineLearned(NEWS)
 
 
-def test_suspect_requests_are_passed_on_once_and_never_synced(
+def test_suspects_are_relayed_once_and_never_synced(
     control: ControlService,
 ) -> None:
     table = UpdateTable()
@@ -47,7 +47,7 @@
     assert table.hash(only_global=False) == hash_before
 
 
-def test_the_table_of_suspect_requests_is_bounded(control: ControlService) -> None:
+def test_number_of_relayed_suspects_is_bounded(control: ControlService) -> None:
     table = UpdateTable()
     for fingerprint in range(3000):
         news = QuarantineNews("s", [QuarantineUpdate(fingerprint, KEYS, 1)])
