--- a/azurestep/mesh/__init__.py
+++ b/azurestep/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""The lean node: callers in, backend servers out, on the users' platform."""
+"""The node: a proxy between callers and backend servers on the users' platform."""
--- a/azurestep/mesh/endpoints.py
+++ b/azurestep/mesh/endpoints.py
@@ -1,4 +1,4 @@
-"""Small HTTP endpoints of a node: readiness, announcements, metrics."""
+"""HTTP endpoints of a node: readiness, announcements and metrics."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 def readiness(is_ready: Callable[[], bool]) -> Handler:
-    """Return the handler that says whether the node takes requests."""
+    """Return the handler that answers 200 if the node is ready, else 503."""
 
     def respond(exchange: Exchange, body: bytes) -> None:
         exchange.answer(200 if is_ready() else 503, JSON, b"{}")
@@ -23,7 +23,7 @@
 
 
 def metrics(refresh: Callable[[], None], runtime: Runtime) -> Handler:
-    """Return the handler that shows the metrics."""
+    """Return the handler that serves the metrics as text."""
 
     def respond(exchange: Exchange, body: bytes) -> None:
         refresh()
@@ -38,18 +38,18 @@
     is_service: Callable[[str], bool],
     on_change: Callable[[], None],
 ) -> Handler:
-    """Return the handler that takes the backend server's announcements.
+    """Return the handler for heartbeats and leaving notices of the backend server.
 
     Parameters
     ----------
     backend : Backend
-        What is known of the backend server.
+        State of the local backend server.
     runtime : Runtime
-        Clock.
+        Source of the time.
     is_service : Callable
         Whether the configuration in force names a service.
     on_change : Callable
-        Called after each announcement that was taken.
+        Called after each accepted announcement.
     """
 
     def respond(exchange: Exchange, body: bytes) -> None:
@@ -79,10 +79,10 @@
     backend: Backend,
     is_service: Callable[[str], bool],
 ) -> None:
-    """Refuse a heartbeat that names a service which no route could lead to.
+    """Reject a heartbeat for a service that the configuration doesn't name.
 
-    What was taken before is heard all the same: its leaving must count, also after
-    the operators dropped its service.
+    A service that was accepted before stays accepted, so that a backend server can
+    still leave after its service was removed from the configuration.
     """
     if not isinstance(notice, Heartbeat):
         return
@@ -115,7 +115,7 @@
 
 
 class BodyCollector:
-    """Collects a short request and answers it by a function.
+    """Collects the body of a short request and passes it to a function.
 
     Parameters
     ----------
@@ -133,18 +133,18 @@
         self._parts: list[bytes] = []
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body."""
+        """Add a chunk of the body."""
         self._parts.append(data)
 
     def on_end(self) -> None:
-        """Answer."""
+        """Respond to the request."""
         self._respond(self._exchange, b"".join(self._parts))
 
     def on_disconnect(self) -> None:
-        """Forget the request."""
+        """Do nothing: there is nothing to clean up."""
 
     def on_writable(self) -> None:
-        """Ignore; the answer is short."""
+        """Do nothing: the answer is sent at once."""
 
     def on_fault(self) -> None:
-        """Leave the answer to the connection."""
+        """Do nothing: the connection sends the error."""
--- a/azurestep/mesh/events.py
+++ b/azurestep/mesh/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events of the node on the platform."""
+"""Numbered log events of the node, each with a summary and a remedy."""
 
 import logging
 
@@ -6,120 +6,120 @@
 from .line_writer import LineWriter
 
 STARTED = register(9001, logging.INFO, "sidecar started")
-STOPPING = register(9002, logging.INFO, "sidecar is stopping")
+STOPPING = register(9002, logging.INFO, "sidecar shutting down")
 STOPPED = register(9003, logging.INFO, "sidecar stopped")
 RELOADED = register(9004, logging.INFO, "settings reloaded")
 SETTINGS_REFUSED = register(
-    9005, logging.ERROR, "settings refused, the former ones stay", "mend the file"
+    9005, logging.ERROR, "settings rejected, previous ones kept", "correct the file"
 )
 TASK_FAILED = register(
     9007,
     logging.ERROR,
-    "a part of the node ended by an error",
-    "report the cause; restart the node if it does not serve",
+    "background task failed with an internal error",
+    "report the cause; restart the node if it doesn't serve requests",
 )
 LOOP_STALLED = register(
     9008,
     logging.WARNING,
-    "this node stood still",
-    "look at the instance's processor if it comes often",
+    "event loop stalled",
+    "check the processor load of the instance if this recurs",
 )
 HANDLER_FAILED = register(
     9009,
     logging.ERROR,
-    "a request could not be handled, its connection is closed",
-    "report the cause: it is an error of the program",
+    "internal error, the connection of the request is closed",
+    "report the line with its cause",
 )
 FAULT = register(
     9010,
     logging.ERROR,
-    "a fault of the program ended one request or one piece of work",
-    "report the line with its traceback; the rest of the node goes on",
+    "internal error, one request or task ended",
+    "report the line with its traceback; the node keeps running",
 )
 STORE_LOST = register(
     9101,
     logging.WARNING,
-    "the platform's store does not answer",
-    "nothing, if the store is known to be away; the node serves what it holds",
+    "platform store unavailable",
+    "none if the outage is known; the node keeps its configuration",
 )
-STORE_REACHED = register(9102, logging.INFO, "the platform's store answers again")
+STORE_REACHED = register(9102, logging.INFO, "platform store available again")
 VERSION = register(9103, logging.INFO, "configuration in force")
 VERSION_REFUSED = register(
     9104,
     logging.ERROR,
-    "a configuration can't be read, the former one stays",
-    "publish one of the agreed shape",
+    "configuration rejected, previous one kept",
+    "publish a valid configuration",
 )
 RECORD_UNREADABLE = register(
     9105,
     logging.ERROR,
-    "records of the store can't be read, the others hold",
-    "find out who wrote to that topic",
+    "unreadable records in the store ignored",
+    "find the writer of the records in that topic",
 )
 PEER_LOST = register(
     9201,
     logging.WARNING,
-    "a node does not answer",
-    "nothing, if that instance was stopped; else look at the network between both",
+    "peer unreachable",
+    "none if that instance was stopped; else check the network between both",
 )
-PEER_REACHED = register(9202, logging.INFO, "a node answers")
+PEER_REACHED = register(9202, logging.INFO, "peer connected")
 PEER_MALFORMED = register(
     9203,
     logging.ERROR,
-    "a message of a node can't be read",
-    "compare the versions of the program on both instances",
+    "malformed message from a peer",
+    "compare the program versions on both instances",
 )
 BACKEND_ANNOUNCED = register(9301, logging.INFO, "backend server announced")
 BACKEND_LEAVING = register(9302, logging.INFO, "backend server is leaving")
 BACKEND_LOST = register(
     9303,
     logging.WARNING,
-    "the backend server takes no connections",
-    "look at the backend server; requests go to others until it is back",
+    "backend server refuses connections",
+    "check the backend server; others get its requests until it is back",
 )
-BACKEND_REACHED = register(9304, logging.INFO, "the backend server takes connections")
+BACKEND_REACHED = register(9304, logging.INFO, "backend server accepts connections")
 BACKEND_REPLACED = register(
-    9305, logging.INFO, "another backend server answers at the address"
+    9305, logging.INFO, "another backend server responds at the address"
 )
 ANNOUNCEMENT_REFUSED = register(
     9306,
     logging.ERROR,
-    "an announcement can't be read",
-    "compare it with the agreed heartbeat",
+    "announcement rejected",
+    "compare it with the agreed heartbeat format",
 )
 IDLE_CONNECTION_LOST = register(
-    9308, logging.INFO, "the backend server had forgotten an idle connection"
+    9308, logging.INFO, "backend server had closed an idle connection"
 )
 CRASH_SUSPECTED = register(
     9309,
     logging.WARNING,
-    "the backend server died, and requests were under way",
-    "look at the requests that are refused as quarantined, if there are any",
-)
-BACKEND_LOAD = register(
-    9310, logging.INFO, "load of the backend server in the last second"
+    "backend server died with requests in flight",
+    "check the requests that are refused as quarantined, if any",
 )
+BACKEND_LOAD = register(9310, logging.INFO, "backend server load in the last second")
 BACKEND_PROBED = register(9307, logging.INFO, "health probe answered")
 CALL_ENDED = register(9401, logging.INFO, "request answered")
-CALL_REFUSED = register(9402, logging.INFO, "request refused, it has not run")
+CALL_REFUSED = register(9402, logging.INFO, "request refused before it ran")
 CALL_FAILED = register(
     9403,
     logging.WARNING,
     "request failed, it may have run",
-    "look for its id at the node beside the backend server that the line names",
+    "search the log of the node beside that backend server for the request id",
+)
+CALLER_DISCONNECTED = register(
+    9404, logging.INFO, "caller disconnected before the answer"
 )
-CALLER_DISCONNECTED = register(9404, logging.INFO, "the caller left before the answer")
-CALL_RETRIED = register(9405, logging.INFO, "request goes to another backend server")
-RUN_REFUSED = register(9501, logging.INFO, "run refused beside the backend server")
+CALL_RETRIED = register(9405, logging.INFO, "request retried at another backend server")
+RUN_REFUSED = register(9501, logging.INFO, "run refused by the backend server's node")
 RUN_FAILED = register(
     9502,
     logging.WARNING,
-    "run without a whole answer",
-    "look at the backend server at that time; the reason says how it broke off",
+    "run ended without a complete answer",
+    "check the backend server at that time; the reason tells how the run ended",
 )
-UNMATCHED_ANSWER = register(9503, logging.INFO, "answer to another request skipped")
+UNMATCHED_ANSWER = register(9503, logging.INFO, "answer to another request discarded")
 RUN_CANCELLED = register(
-    9504, logging.INFO, "run cancelled by the node that sent it, before its answer"
+    9504, logging.INFO, "run cancelled before its answer by the node that sent it"
 )
 
 WRITER = LineWriter()
@@ -131,5 +131,5 @@
 
 
 def log_routine(event: Event, **fields: object) -> None:
-    """Log what went as it should; it is left out before other lines are."""
+    """Log an expected outcome; such lines are dropped before others."""
     WRITER.add(event, fields, routine=True)
--- a/azurestep/mesh/incarnation.py
+++ b/azurestep/mesh/incarnation.py
@@ -1,31 +1,31 @@
-"""Which start of a backend server is meant."""
+"""Identity of one run of a backend server process."""
 
 import attrs
 
 START_UNKNOWN = 0
-"""Start of an incarnation that did not tell it."""
+"""Start time of an incarnation that didn't announce it."""
 
 
 @attrs.frozen(slots=True)
 class Incarnation:
-    """One start of a backend server.
+    """One run of a backend server process.
 
-    A backend server may start again under the id that it had, so the id alone does
-    not tell two starts apart.
+    A restarted backend server may keep its id, so the start time is part of the
+    identity.
 
     Attributes
     ----------
     instance_id : bytes
-        Id under which it announced itself; empty for none.
+        Id that the backend server announced; empty for none.
     started_ms : int
-        Its start in Unix milliseconds; ``START_UNKNOWN`` where it was not told.
+        Start time in Unix milliseconds, or ``START_UNKNOWN``.
     """
 
     instance_id: bytes
     started_ms: int = START_UNKNOWN
 
     def matches(self, other: "Incarnation") -> bool:
-        """Whether both may be the same start, as far as it is told.
+        """Whether both may be the same incarnation; an unknown start matches any.
 
         Examples
         --------
--- a/azurestep/mesh/line_writer.py
+++ b/azurestep/mesh/line_writer.py
@@ -1,8 +1,7 @@
-"""Log lines, written to standard output without blocking.
+"""Non-blocking, rate-limited writer of log lines to standard output.
 
-Lines are collected and written at intervals; above a rate they are left out and
-counted, so a flood of requests can neither fill the disk of the log collector nor
-hold the event loop.
+Lines are buffered and written at intervals. Lines above the rate limit are dropped
+and counted.
 """
 
 import logging
@@ -19,30 +18,28 @@
 LINES_DROPPED = register(
     9006,
     logging.WARNING,
-    "log lines were left out above the rate",
-    "use the counters of the metrics address for totals",
+    "log lines dropped above the rate limit",
+    "use the counters of the metrics endpoint for totals",
 )
 RATE_LINES_S = 300.0
-"""Lines that are written in a second; a node of the sizes measured carries some
-160 requests a second, and each has one line."""
+"""Rate limit in lines a second."""
 BURST_LINES = 600.0
 RESERVED_LINES = 300.0
-"""Lines of the burst that routine lines leave to those of refused, failed and late
-requests: one second of them."""
+"""Part of the burst that is reserved for lines that aren't routine."""
 BUFFER_LINES = 2000
-"""Lines kept while standard output takes none."""
+"""Lines buffered while standard output is blocked."""
 
 
 @attrs.define
 class LineWriter:
-    """Collects lines, bounds their rate and writes them without blocking.
+    """Buffers log lines, limits their rate and writes them without blocking.
 
     Attributes
     ----------
     descriptor : int
-        Where lines go.
+        File descriptor that lines are written to.
     dropped : int
-        Lines left out since the last note of it.
+        Lines dropped since the last line that reported it.
     """
 
     descriptor: int = 1
@@ -54,24 +51,23 @@
     _refilled_s: float = 0.0
 
     def open(self) -> None:
-        """Make writes return at once when nobody reads."""
+        """Set the descriptor to non-blocking mode."""
         os.set_blocking(self.descriptor, False)
 
     def add(
         self, event: Event, fields: dict[str, object], routine: bool = False
     ) -> None:
-        """Add a line, or count it as left out.
+        """Add a line, or count it as dropped.
 
         Parameters
         ----------
         event : Event
             What happened.
         fields : dict
-            What it is told with.
+            Fields of the line.
         routine : bool
-            Whether it went as it should. Such lines leave a part of the rate to the
-            others: on a day of high load, 63,000 of 150,000 lines were left out, those
-            of refused and late requests as often as those of answers in time.
+            Whether the line reports an expected outcome. Such lines are dropped
+            before others.
         """
         now_s = self.clock()
         refilled = self._tokens + (now_s - self._refilled_s) * RATE_LINES_S
@@ -86,7 +82,7 @@
         self._lines.append(_line(event, fields))
 
     def flush(self) -> None:
-        """Write what standard output takes now."""
+        """Write as many lines as standard output accepts now."""
         if self.dropped and self._tokens >= 1 and len(self._lines) < BUFFER_LINES:
             dropped, self.dropped = self.dropped, 0
             self._lines.append(_line(LINES_DROPPED, {"lines": dropped}))
--- a/azurestep/mesh/link_messages.py
+++ b/azurestep/mesh/link_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes that accompany requests, and news of the whole fleet."""
+"""Messages between nodes besides requests and their outcomes."""
 
 import attrs
 
@@ -7,19 +7,19 @@
 
 @attrs.frozen(slots=True)
 class Ping:
-    """Asks for a sign of life; it carries the sender's clock."""
+    """Probes the other node; it carries the time at the sender."""
 
     sent_ms: float
 
 
 @attrs.frozen(slots=True)
 class Pong:
-    """A sign of life."""
+    """Answer to a probe."""
 
 
 @attrs.frozen(slots=True)
 class Body:
-    """More of a request's body."""
+    """A chunk of a request's body; ``whole`` marks the last one."""
 
     data: bytes
     whole: bool
@@ -27,34 +27,34 @@
 
 @attrs.frozen(slots=True)
 class Cancel:
-    """Nobody waits for a request any more."""
+    """Cancels a request that nobody waits for."""
 
 
 @attrs.frozen(slots=True)
 class Withdraw:
-    """Stops a request and asks whether it had not run."""
+    """Cancels a request and asks whether it may have run."""
 
 
 @attrs.frozen(slots=True)
 class Proceed:
-    """Lets a held request go."""
+    """Confirms a request that waits for confirmation."""
 
 
 @attrs.frozen(slots=True)
 class SlotReady:
-    """Asks whether a held request, which has a slot now, still stands."""
+    """Asks for confirmation of a request that has a free slot now."""
 
 
 @attrs.frozen(slots=True)
 class Credit:
-    """Lets the other end send more bytes."""
+    """Flow control: allows the other end to send more bytes."""
 
     size: int
 
 
 @attrs.frozen(slots=True)
 class AnswerData:
-    """More of an answer."""
+    """A chunk of an answer's body; ``whole`` marks the last one."""
 
     data: bytes
     whole: bool
@@ -62,12 +62,12 @@
 
 @attrs.frozen(slots=True)
 class ConfigurationQuery:
-    """Asks for the configuration that the other node holds."""
+    """Asks for the configuration of the other node."""
 
 
 @attrs.frozen(slots=True)
 class ConfigurationUpdate:
-    """A configuration that a node holds."""
+    """Configuration in force at the sender."""
 
     version: int
     content: bytes
@@ -75,7 +75,7 @@
 
 @attrs.frozen(slots=True)
 class CrashReport:
-    """Which requests were under way as backend servers of a service died."""
+    """Requests that were in flight when backend servers of a service died."""
 
     service: str
     updates: list[QuarantineUpdate]
--- a/azurestep/mesh/messages.py
+++ b/azurestep/mesh/messages.py
@@ -16,9 +16,9 @@
 Headers = list[tuple[bytes, bytes]]
 PROTOCOL_VERSION = 2
 BUFFER_BYTES = 96 * 1024 * 1024
-"""Longest message that is taken."""
+"""Size limit of a message."""
 COMPRESSION_LEVEL = 1
-"""Least effort: 200 KB take some 2 ms, and higher levels save little more."""
+"""Fastest level; higher ones save little more."""
 
 
 class Kind(IntEnum):
@@ -77,11 +77,11 @@
     format : int
         Version of this protocol.
     peer_address : tuple
-        Where the sender takes links.
+        Address at which the sender accepts links.
     started_ms : int
-        Start of the sender's process; a later one is another incarnation.
+        Start of the sender's process, which identifies its incarnation.
     configuration_version : int
-        Configuration that the sender holds; 0 for none.
+        Configuration in force at the sender; 0 for none.
     """
 
     format: int
@@ -93,26 +93,26 @@
 
 @attrs.frozen(slots=True)
 class State:
-    """What a node tells all others about its backend server and itself.
+    """State of a node and its backend server, broadcast to all peers.
 
     Attributes
     ----------
     open : bool
-        Whether the backend server takes new requests.
+        Whether the backend server accepts new requests.
     in_flight : int
-        Requests that run or wait there.
+        Requests that run or wait at the backend server.
     server_started_ms : int
-        Start of the backend server, which may have the id of an earlier one.
+        Start of the backend server, which may reuse the id of an earlier one.
     cold_remaining_ms : float
-        How much longer the backend server is slow.
+        Time left of the cold start of the backend server.
     configuration_version : int
-        Configuration that the node holds.
+        Configuration in force at the node.
     store_reachable : bool
-        Whether its last call to the platform's store was answered.
+        Whether the platform's store answered the last call.
     failure_ratio : float
-        Share of the backend server's runs that failed of late.
+        Ratio of recent runs at the backend server that failed.
     callers, refusals : tuple
-        What ``pressure.Report`` holds.
+        Fields of ``pressure.Report``.
     """
 
     service: str
@@ -139,7 +139,7 @@
     sent_ms : float
         The sender's clock when it sent the request.
     remaining_ms : float
-        Time left to the caller's deadline and the route's timeout.
+        Time left until the caller's deadline or the route's timeout.
     objective_ms : float
         Time left until the answer loses value; it may be negative.
     whole : bool
@@ -147,13 +147,13 @@
     length : int
         Length of the body; -1 if it is not known yet.
     server_started_ms : int
-        Start of the backend server that is meant.
+        Start of the intended backend server.
     mean_run_ms : float
-        Mean run time of the route at all backend servers that the sender knows; 0 if
-        it knows none.
+        Mean run time of the route at the backend servers known to the sender; 0 if
+        unknown.
     needs_confirmation : bool
-        Whether the receiver asks again, once there is a slot, before it sends the
-        request on. Until it was told to, the sender knows that it has not run.
+        Whether the receiver asks for confirmation, once there is a free slot, before
+        it runs the request. An unconfirmed request has not run.
     """
 
     method: bytes
@@ -178,24 +178,24 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Backend server that is meant."""
+        """Intended incarnation of the backend server."""
         return Incarnation(self.instance_id, self.server_started_ms)
 
 
 @attrs.frozen(slots=True)
 class Answer:
-    """The head of a backend server's answer, with its body's beginning.
+    """The head of a backend server's answer and the start of its body.
 
     Attributes
     ----------
     length : int
-        Length of the body; -1 if it ends with ``whole`` only.
+        Length of the body; -1 if unknown until ``whole`` is set.
     in_flight : int
-        Requests that run or wait at the backend server now.
+        Requests that run or wait at the backend server.
     mean_run_ms : float
-        Mean time that the backend server takes for this route.
+        Mean run time of this route at the backend server.
     waited_ms, ran_ms : float
-        Time that this request waited beside the backend server, and ran there.
+        Time that this request waited for a slot, and its run time.
     """
 
     status: int
@@ -222,7 +222,7 @@
 
 @attrs.frozen(slots=True)
 class Failure:
-    """The request may have run, and no whole answer comes."""
+    """The request may have run, and its answer is missing or incomplete."""
 
     reason: int
     in_flight: int
@@ -234,10 +234,7 @@
 
 
 def compress(content: bytes) -> bytes:
-    """Return a configuration in the form in which nodes send it.
-
-    A document of thousands of routes shrinks to a tenth; at its full size, one node
-    needs seconds on a link of 10 Mbit/s to send it to the 24 others nearby.
+    """Return a configuration compressed for sending to other nodes.
 
     Examples
     --------
@@ -248,20 +245,20 @@
 
 
 def decompress(data: bytes) -> bytes:
-    """Return the configuration that a node sent.
+    """Return a configuration received from another node.
 
     Raises
     ------
     ValueError
-        If the bytes are none or far too many.
+        If the data can't be decompressed, is truncated or too long.
     """
     expander = zlib.decompressobj()
     try:
         content = expander.decompress(data, BUFFER_BYTES)
     except zlib.error as error:
-        raise ValueError("a configuration can't be decompressed") from error
+        raise ValueError("the configuration can't be decompressed") from error
     if not expander.eof:
-        raise ValueError("a configuration is cut or too long")
+        raise ValueError("the configuration is truncated or too long")
     return content
 
 
--- a/azurestep/mesh/metrics.py
+++ b/azurestep/mesh/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, as text in the Prometheus format."""
+"""Metrics of a node in the Prometheus text format."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -10,7 +10,7 @@
 
 @attrs.define(slots=True)
 class Histogram:
-    """Counts of times below fixed bounds.
+    """Latency histogram with fixed buckets.
 
     Examples
     --------
@@ -24,12 +24,12 @@
     total_ms: float = 0.0
 
     def record(self, value_ms: float) -> None:
-        """Count a time."""
+        """Record a duration."""
         self.counts[bisect_left(BUCKETS_MS, value_ms)] += 1
         self.total_ms += value_ms
 
     def lines(self, name: str) -> list[str]:
-        """Return the lines of the text format."""
+        """Return the histogram in the text format."""
         lines = []
         cumulative = 0
         for bound, count in zip((*BUCKETS_MS, "+Inf"), self.counts, strict=True):
@@ -42,7 +42,7 @@
 
 @attrs.define(slots=True)
 class Metrics:
-    """All metrics of a node."""
+    """All metrics of a node: histograms, counters and gauges."""
 
     call_ms: Histogram = attrs.field(factory=Histogram)
     run_ms: Histogram = attrs.field(factory=Histogram)
@@ -50,7 +50,7 @@
     gauges: dict[str, float] = attrs.field(factory=dict)
 
     def count(self, name: str, label: str = "") -> None:
-        """Count one more of something."""
+        """Increment a counter."""
         self.counters[name, label] += 1
 
     def text(self) -> str:
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -1,4 +1,4 @@
-"""One node, assembled: listeners, links, readers, and an orderly stop."""
+"""Assembly, main loop and reload of one node."""
 
 import asyncio
 import gc
@@ -38,25 +38,23 @@
 from .stopping import GracefulShutdown
 
 TICK_S = 0.1
-"""How often links, queues and connections are looked after."""
+"""Interval of the main loop."""
 STATE_TICKS = 2
-"""Ticks between looks whether the load here is news for the other nodes."""
+"""Ticks between checks whether to report the load to peers."""
 FORGET_TICKS = 10
-"""Ticks between looks which callers have given up."""
+"""Ticks between expirations of returning callers."""
 SETTINGS_CHECK_TICKS = 20
-"""Ticks between looks at the settings file, which may change without a signal."""
+"""Ticks between checks for a changed settings file."""
 READY_AFTER_MS = 600.0
-"""Time from the start after which a node without links counts as ready all the
-same: it serves what it can."""
+"""Time after the start at which a node counts as ready even without links."""
 EXCUSED_PAUSE_MS = 30.0
-"""Delay of a tick from which on this node itself was busy: answers to its probes may
-have come and wait to be read. With a limit of 300 ms, nodes of 0.43 core doubted
-others in bursts, some 250 requests each, whenever a configuration came."""
+"""Tick delay above which it is subtracted from the response times of peers, whose
+answers may have been received but not yet read."""
 OWN_PAUSE_MS = 300.0
-"""Delay of a tick from which on a line says that this node stood still."""
+"""Tick delay above which a stalled event loop is logged."""
 GC_THRESHOLD = 20_000
-"""Allocations between collections. Requests break their references at their end,
-so that bodies are freed at once and collections find little."""
+"""Allocations between garbage collections, which find little since requests leave no
+reference cycles."""
 
 
 ProtocolFactory = Callable[[], asyncio.Protocol]
@@ -64,7 +62,7 @@
 
 @attrs.define(eq=False)
 class Node:
-    """All parts of one node."""
+    """A node with all its parts."""
 
     settings: MeshSettings
     path: pathlib.Path
@@ -166,7 +164,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until a signal asks for the end."""
+        """Serve until a signal requests the shutdown."""
         settings = self.settings
         loop = self.runtime.loop
         loop.set_exception_handler(self.runtime.on_loop_error)
@@ -215,14 +213,14 @@
         events.WRITER.flush()
 
     def stop(self) -> None:
-        """Begin an orderly stop: finish what is under way, take nothing new."""
+        """Begin a graceful shutdown."""
         if not self.shutdown.begin(self.settings.bounds.grace_ms):
             return
         self.runtime.spawn(self.discovery.leave())
         self.schedule_state_broadcast()
 
     def abort(self) -> None:
-        """Close all sockets at once, as a crash does."""
+        """Close all sockets immediately, as a crash does."""
         for server in self._servers:
             server.close()
         self.members.close()
@@ -233,7 +231,7 @@
         self.runtime.cancel_all()
 
     def reload(self) -> None:
-        """Read the settings file again."""
+        """Reload the settings file."""
         try:
             settings = read_settings(self.path)
         except SettingsError as error:
@@ -254,11 +252,11 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether an orderly stop has begun."""
+        """Whether a graceful shutdown has begun."""
         return self.shutdown.plan is not None
 
     def is_ready(self) -> bool:
-        """Whether callers should send requests here."""
+        """Whether the node is ready for requests of callers."""
         if self.is_stopping or not self.configuration.version:
             return False
         age_ms = self.runtime.now_ms() - self.started_ms
@@ -266,7 +264,7 @@
         return linked or age_ms > READY_AFTER_MS
 
     def hello(self) -> Hello:
-        """Return this node's greeting."""
+        """Return the first message that this node sends on a link."""
         return Hello(
             PROTOCOL_VERSION,
             self.settings.peer_address,
@@ -276,7 +274,7 @@
         )
 
     def state(self) -> State:
-        """Return what other nodes should know."""
+        """Return the state that is broadcast to peers."""
         backend = self.backend
         return State(
             backend.service,
@@ -295,7 +293,7 @@
         )
 
     def schedule_state_broadcast(self) -> None:
-        """Tell all nodes this one's state, once for all changes of a moment."""
+        """Schedule one broadcast for all state changes in this loop iteration."""
         if not self._broadcast_due:
             self._broadcast_due = True
             self.runtime.loop.call_soon(self._broadcast)
--- a/azurestep/mesh/runtime.py
+++ b/azurestep/mesh/runtime.py
@@ -1,4 +1,4 @@
-"""What the parts of a node share: event loop, clock, randomness, metrics."""
+"""Services shared by all parts of a node, and handling of internal errors."""
 
 import asyncio
 import time
@@ -14,16 +14,16 @@
 from .metrics import Metrics
 
 TRACEBACK_FRAMES = 8
-"""Innermost calls that a line shows."""
+"""Innermost stack frames that a log line includes."""
 MAX_TRACEBACKS = 20
-"""Lines of each place that show one: a part of the tick that fails each time writes ten
-a second. Counts and causes go on."""
+"""Tracebacks logged for each place, so that an error on every tick doesn't flood the
+log. Later lines carry the cause alone."""
 MAX_CAUSE_CHARACTERS = 500
 
 
 @attrs.define(eq=False)
 class Runtime:
-    """Event loop, clock, randomness and metrics of one node."""
+    """Event loop, clock, random generator and metrics of one node."""
 
     loop: asyncio.AbstractEventLoop
     random: Random = attrs.field(factory=Random)
@@ -31,18 +31,18 @@
     _tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     def now_ms(self) -> float:
-        """Return a monotonic time that also counts suspended time."""
+        """Return the monotonic time, which includes time in suspension."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
     def call_soon(self, callback: Callable[[], None]) -> None:
-        """Call a function once what is being handled now has ended.
+        """Call a function from the event loop, apart from the current call stack.
 
-        Its error is its own: it reaches nothing that happens to be on the stack.
+        An error in it is logged and doesn't reach the caller of this method.
         """
         self.loop.call_soon(self.run_guarded, "soon", callback)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine beside the others."""
+        """Run a coroutine as a background task."""
         task = self.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -60,7 +60,7 @@
         event: Event = events.FAULT,
         **fields: object,
     ) -> None:
-        """Log and count a fault of this program that was caught at a place."""
+        """Log and count an internal error caught at a place in the program."""
         self.metrics.count("faults", place)
         if self.metrics.counters["faults", place] <= MAX_TRACEBACKS:
             fields["traceback"] = "".join(
@@ -72,14 +72,14 @@
     def run_guarded(
         self, place: str, work: Callable[..., object], *arguments: object
     ) -> None:
-        """Do a piece of work whose fault must not keep others from being done."""
+        """Call a function; an error in it is reported instead of raised."""
         try:
             work(*arguments)
         except Exception as error:
             self.report_fault(place, error)
 
     def fault_handler(self, place: str) -> Callable[[BaseException, bool], None]:
-        """Return what takes the faults of callers' connections at a place."""
+        """Return a handler that reports internal errors of HTTP connections."""
 
         def handle(error: BaseException, contained: bool) -> None:
             event = events.FAULT if contained else events.HANDLER_FAILED
@@ -90,7 +90,7 @@
     def on_loop_error(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]
     ) -> None:
-        """Take what nothing else caught; an error of the network is no fault."""
+        """Report an uncaught error of the event loop, unless it is a network error."""
         error = context.get("exception")
         if error is None or isinstance(error, OSError):
             loop.default_exception_handler(context)
@@ -98,6 +98,6 @@
             self.report_fault("loop", error, what=context.get("message", ""))
 
     def cancel_all(self) -> None:
-        """Cancel all coroutines."""
+        """Cancel all background tasks."""
         for task in list(self._tasks):
             task.cancel()
--- a/azurestep/mesh/settings.py
+++ b/azurestep/mesh/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node on the platform, as ``deploy/settings.json`` renders them."""
+"""Settings of a node, read from the file rendered from ``deploy/settings.json``."""
 
 import pathlib
 from typing import Any
@@ -18,7 +18,7 @@
     Raises
     ------
     SettingsError
-        If the text is no such address.
+        If the text is not an address.
 
     Examples
     --------
@@ -27,28 +27,28 @@
     """
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise SettingsError(f"{text!r} is no address", "Write HOST:PORT")
+        raise SettingsError(f"{text!r} is not an address", "Use the form HOST:PORT")
     return host, int(port)
 
 
 @attrs.frozen
 class Bounds:
-    """Times and budgets that the operators agreed on.
+    """Time limits and the retry budget agreed on with the operators.
 
     Attributes
     ----------
     drain_ms : float
-        After the acknowledgement of a leaving backend server, the longest time
-        until it gets its last request.
+        Longest time from the acknowledgement of a leaving notice until the backend
+        server gets its last request.
     grace_ms : float
         Time between SIGTERM and SIGKILL.
     propagation_ms : float
-        Longest time until a version is in force everywhere.
+        Longest time until a configuration is in force at all nodes.
     retry_ratio, retry_extra, retry_window_ms : float
-        Budget of repeated arrivals at a service: a share of its requests and a
-        fixed number, in each window, over all nodes.
+        Retry budget of a service over all nodes: a ratio of its requests plus a
+        fixed number in each window.
     stability_ms : float
-        Calm after which a disturbed node counts as sound again.
+        Time without disturbance after which a node counts as stable.
     """
 
     drain_ms: float = 2000.0
@@ -72,7 +72,7 @@
 
 
 def parse_bounds(values: dict[str, Any]) -> Bounds:
-    """Return the bounds of a table; unknown names are ignored.
+    """Return the bounds in a settings table; unknown names are ignored.
 
     Examples
     --------
@@ -95,22 +95,22 @@
 
 @attrs.frozen
 class MeshSettings:
-    """What one node knows at its start.
+    """Settings of one node.
 
     Attributes
     ----------
     caller_address : Address
-        Where the callers of this instance send their requests.
+        Address that callers send requests to.
     peer_address : Address
-        Where other nodes send requests for the backend server of this instance.
+        Address that other nodes connect to.
     ready_address, announce_address, metrics_address : Address
-        Readiness, announcements of the backend server, and metrics.
+        Endpoints for readiness, announcements and metrics.
     backend_address : Address
-        The backend server of this instance.
+        Address of the local backend server.
     store_address : Address
-        The platform's store.
+        Address of the platform's store.
     peer_listen_address : Address, optional
-        Where to listen for other nodes, if a relay stands at ``peer_address``.
+        Address to listen on for other nodes, if a relay listens on ``peer_address``.
     """
 
     instance: str
@@ -134,25 +134,27 @@
     Raises
     ------
     SettingsError
-        If the file can't be read or a field is missing or wrong.
+        If the file can't be read, or a field is missing or invalid.
     """
     try:
         return decode_settings(orjson.loads(path.read_bytes()))
     except OSError as error:
         raise SettingsError(
-            f"{path} can't be read: {error}", "Name the settings file of this node"
+            f"{path} can't be read: {error}", "Pass the path of the settings file"
         ) from error
     except orjson.JSONDecodeError as error:
-        raise SettingsError(f"{path} is no JSON: {error}", "Mend the file") from error
+        raise SettingsError(
+            f"{path} is not valid JSON: {error}", "Correct the file"
+        ) from error
 
 
 def decode_settings(fields: dict[str, Any]) -> MeshSettings:
-    """Return the settings that a decoded JSON object holds.
+    """Return the settings in a decoded JSON object.
 
     Raises
     ------
     SettingsError
-        If a field is missing or wrong.
+        If a field is missing or invalid.
     """
     try:
         return MeshSettings(
@@ -172,7 +174,7 @@
         )
     except (KeyError, TypeError, ValueError) as error:
         raise SettingsError(
-            f"field missing or wrong: {error!r}",
+            f"a field is missing or invalid: {error!r}",
             "Compare the file with deploy/settings.json",
         ) from error
 
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -1,4 +1,4 @@
-"""The orderly stop of a node: finish what is under way, take nothing new, end."""
+"""Graceful shutdown of a node."""
 
 from collections.abc import Callable
 
@@ -16,16 +16,16 @@
 
 @attrs.define(eq=False)
 class GracefulShutdown:
-    """Takes a node from SIGTERM to its end.
+    """Steps of a node's shutdown from SIGTERM to its exit.
 
     Attributes
     ----------
     callers : ServerState
         Connections of callers.
     close_callers : Callable
-        Stops taking connections of callers.
+        Stops accepting connections of callers.
     plan : StopPlan or None
-        When what happens; None until the stop begins.
+        Times of the steps; None until the shutdown begins.
     """
 
     runtime: Runtime
@@ -38,7 +38,7 @@
     plan: StopPlan | None = None
 
     def begin(self, grace_ms: float) -> bool:
-        """Begin, and return whether it had not begun before."""
+        """Begin the shutdown; return False if it had already begun."""
         if self.plan is not None:
             return False
         self.plan = StopPlan(self.runtime.now_ms(), grace_ms)
@@ -49,26 +49,26 @@
         return True
 
     def advance(self, now_ms: float) -> bool:
-        """Take the next step; return whether the node may end."""
+        """Perform the step that is due; return whether the node may exit."""
         plan = self.plan
         if plan is None or now_ms < plan.refuses_from_ms:
             return False
         if not self.outbound.closed:
             self.outbound.closed = True
             self.close_callers()
-            # What was accepted last is read, and refused, before the next look.
+            # Requests on just accepted connections are refused before the next call.
             return False
         busy = self.callers.busy or self.inbound.busy or self.listener.busy
         if busy and now_ms < plan.ends_ms:
             return False
         for connection in list(self.callers.connections):
             self.runtime.run_guarded("stop", connection.close_if_idle)
-        # What comes in the last moments goes elsewhere; taken, it was cut by the end.
+        # Refuse requests that arrive now, since the exit would abort them.
         self.inbound.stop(now_ms)
         return True
 
     def finish(self) -> None:
-        """Say what the node leaves as it ends."""
+        """Log the requests that the exit aborts."""
         for call in list(self.outbound.context.under_way):
             call.log_cut()
         self._log(events.STOPPED)
--- a/tests/fixtures_mesh.py
+++ b/tests/fixtures_mesh.py
@@ -1,4 +1,4 @@
-"""A fleet of real nodes on loopback addresses, with stand-ins around it."""
+"""Fixtures that run a fleet of nodes on loopback with stand-ins for the platform."""
 
 import asyncio
 import os
@@ -23,12 +23,12 @@
 CALLER_PORT, PEER_PORT, READY_PORT, ANNOUNCE_PORT = 7101, 7102, 7103, 7104
 METRICS_PORT, BACKEND_PORT, STORE_PORT = 7105, 7106, 7107
 NETWORK = f"127.{16 + os.getpid() % 200}.{1 + os.getpid() // 200 % 250}"
-"""Loopback addresses of this process's own, so that test processes can run at once."""
+"""Loopback network of this process, so that test processes can run in parallel."""
 STORE_HOST = f"{NETWORK}.250"
 
 
 def document(version: int, **changes: object) -> bytes:
-    """Return an operator's document with a read and a payment route."""
+    """Return a configuration document with a read route and a payment route."""
     common = {"host": "shop.example", "max_attempts": 2, "aim": "400ms"}
     routes = {
         "read": {
@@ -65,7 +65,7 @@
 
 @attrs.define
 class MeshInstance:
-    """One instance: its node and the backend server beside it."""
+    """One instance with its node and backend server."""
 
     host: str
     node: Node
@@ -74,7 +74,7 @@
     beats: int = 0
 
     def url(self, path: str) -> str:
-        """Return the address of a path for callers of this instance."""
+        """Return the URL of a path for callers of this instance."""
         return f"http://{self.host}:{CALLER_PORT}{path}"
 
     async def beat(self, session: ClientSession, state: str = "ready") -> int:
@@ -102,7 +102,7 @@
 
 @attrs.define
 class MeshFleet:
-    """Several instances and the store."""
+    """Several instances and a store."""
 
     store: StoreStandIn
     session: ClientSession
@@ -120,12 +120,12 @@
         return instance
 
     def new_node(self, instance: MeshInstance) -> Node:
-        """Return a new node of an instance, as after a crash."""
+        """Return a new node for an instance, as after a crash."""
         index = int(instance.host.rpartition(".")[2])
         return self._node(instance.host, index, first_start=False)
 
     def start_node(self, instance: MeshInstance) -> None:
-        """Run an instance's node."""
+        """Start the node of an instance."""
         instance.task = asyncio.create_task(instance.node.run())
 
     async def settle(self) -> None:
@@ -140,14 +140,14 @@
     async def get(
         self, instance: MeshInstance, path: str, name: str, budget_ms: int = 2000
     ) -> tuple[int, bytes]:
-        """Send an idempotent request as a caller does."""
+        """Send a GET request as a caller."""
         async with self.session.get(
             instance.url(path), headers=caller_headers(name, budget_ms)
         ) as answer:
             return answer.status, await answer.read()
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all nodes and backend servers."""
         for instance in self.instances:
             if instance.task is not None:
                 instance.task.cancel()
@@ -177,7 +177,7 @@
 
 
 def caller_headers(name: str, budget_ms: int = 2000) -> dict[str, str]:
-    """Return the headers that a caller sends."""
+    """Return the headers of a caller's request."""
     return {
         "Host": "shop.example",
         "Attempt-Id": name,
@@ -187,7 +187,7 @@
 
 @pytest_asyncio.fixture
 async def mesh_store() -> AsyncIterator[StoreStandIn]:
-    """Run the stand-in of the store with a first configuration."""
+    """Run a stand-in for the store with an initial configuration."""
     store = StoreStandIn()
     store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, document(3))
     runner = web.AppRunner(store.application(), shutdown_timeout=0)
@@ -202,7 +202,7 @@
 async def mesh(
     mesh_store: StoreStandIn, tmp_path: pathlib.Path
 ) -> AsyncIterator[MeshFleet]:
-    """Run three instances that know one another."""
+    """Run three connected instances."""
     async with ClientSession() as session:
         mesh = MeshFleet(mesh_store, session, tmp_path / "settings.json")
         for index in (1, 2, 3):
@@ -213,7 +213,7 @@
 
 
 class MeshLines:
-    """What the nodes wrote since the last look."""
+    """Reads the log lines that nodes wrote since the last read."""
 
     def __init__(self, capfd: pytest.CaptureFixture[str]) -> None:
         self._capfd = capfd
@@ -227,5 +227,5 @@
 
 @pytest.fixture
 def mesh_lines(capfd: pytest.CaptureFixture[str]) -> MeshLines:
-    """Return what reads the lines that nodes write."""
+    """Return a reader of the log lines of the nodes."""
     return MeshLines(capfd)
--- a/tests/test_mesh_foreign_records.py
+++ b/tests/test_mesh_foreign_records.py
@@ -1,4 +1,4 @@
-"""Announcements and store records from another writer: refused, and the others hold."""
+"""Malformed announcements and store records are rejected without side effects."""
 
 import asyncio
 import json
--- a/tests/test_mesh_incarnations.py
+++ b/tests/test_mesh_incarnations.py
@@ -1,4 +1,4 @@
-"""Backend servers that start again under the id that they had."""
+"""Backend servers that restart with the same id."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 DRAIN_MS = 2000.0
 FIRST = Heartbeat("i-1", "shop", 40, 4, False, 0.0, started_ms=1_000)
 RESTARTED = Heartbeat("i-1", "shop", 1, 6, False, 500.0, started_ms=9_000)
-"""The same id, started later: its heartbeats count from one."""
+"""A later incarnation with the same id; its sequence numbers restart at one."""
 
 
 @pytest.fixture
--- a/tests/test_mesh_lines.py
+++ b/tests/test_mesh_lines.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded in rate, never blocking, left out ones counted."""
+"""Log lines are rate-limited, counted when dropped, and never block."""
 
 import os
 
--- a/tests/test_mesh_settings.py
+++ b/tests/test_mesh_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the node on the platform."""
+"""Parsing of the settings file."""
 
 import pathlib
 import re
@@ -27,7 +27,7 @@
 
 
 def rendered() -> dict[str, object]:
-    """Render the template as the platform does."""
+    """Render the settings template as the platform does."""
     text = re.sub(
         r"\{\{([^|}]+)\|json\}\}",
         lambda found: orjson.dumps(VALUES[found.group(1)]).decode(),
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -1,4 +1,4 @@
-"""Which room of the node may import which other one."""
+"""Layers of the node's packages and the imports allowed between them."""
 
 import ast
 import graphlib
@@ -25,13 +25,13 @@
         "mesh.links",
     },
 }
-"""Each room and the rooms below it; what stands in ``mesh`` itself is shared by all."""
+"""Each package and those it may import; all share the modules of ``mesh`` itself."""
 FORBIDDEN_IN_DECISIONS = {"asyncio", "socket", "uvloop", "time", "httptools", "os"}
-"""What a decision has no business with: time and chance come in as arguments."""
+"""Modules that decisions must not import, as they are pure functions."""
 
 
 def imports_of(path: pathlib.Path) -> set[str]:
-    """Return what a module imports; own modules by their name below the package."""
+    """Return the full names of all modules that a module imports."""
     here = ["azurestep", *path.relative_to(PACKAGE).with_suffix("").parts]
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/test_start_costs.py
+++ b/tests/test_start_costs.py
@@ -1,4 +1,4 @@
-"""What a node spends on news that others have already, or that change nothing."""
+"""Nodes don't relay known updates or rebuild the directory without a change."""
 
 import asyncio
 import random
@@ -35,7 +35,7 @@
 
 
 def _updates_in_ack(outputs: list[Output]) -> list[Update]:
-    """Return the updates of the only answer among the outputs."""
+    """Return the updates in the only message among the outputs."""
     sends = [output for output in outputs if isinstance(output, Send)]
     (answer,) = [send.message for send in sends if isinstance(send.message, Ack)]
     assert len(sends) == 1
