--- a/azurestep/platform/announcement.py
+++ b/azurestep/platform/announcement.py
@@ -11,12 +11,11 @@
 
 PREFIX = "/v1/instances/"
 MAX_SLOTS = 100_000
-"""Slots above which an announcement counts as damaged: 5,000 times the largest backend
-server that was measured."""
+"""Larger numbers of slots are rejected as malformed."""
 MAX_INTEGER = 2**53
-"""Largest whole number that every JSON reader keeps exactly."""
+"""Largest integer that all JSON parsers represent exactly."""
 MAX_BODY_BYTES = 65_536
-"""Longest body that is read: 200 times a heartbeat."""
+"""Size limit of an announcement's body."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 Duration = Annotated[str, msgspec.Meta(pattern=DURATION_PATTERN)]
@@ -33,14 +32,14 @@
     instance_id : str
         Id of the backend server.
     sequence : int
-        Grows with each heartbeat of one start, so a late one can be told.
+        Increases with each heartbeat of an incarnation, so that late ones are detected.
     leaving : bool
-        Whether the backend server takes no new work soon.
+        Whether the backend server is about to stop accepting requests.
     cold_remaining_ms : float
-        How much longer it stays slow after its start.
+        Time left of its cold start.
     started_ms : int or None
-        Its start in Unix milliseconds. The same id with a later start is another
-        incarnation; None where the backend server doesn't tell it.
+        Start time in Unix milliseconds, or None if not announced. The same id with a
+        later start is another incarnation.
     """
 
     instance_id: str
@@ -54,7 +53,7 @@
 
 @attrs.frozen(slots=True)
 class LeavingNotice:
-    """A backend server's notice that it ends, without a heartbeat before."""
+    """Notice that a backend server shuts down, sent apart from heartbeats."""
 
     instance_id: str
     started_ms: int | None = None
@@ -98,18 +97,18 @@
 
 
 def read_announcement(target: str, body: bytes) -> Heartbeat | LeavingNotice:
-    """Return what a call of a backend server says.
+    """Parse an announcement of a backend server.
 
     Raises
     ------
     MessageMalformedError
-        If the path or the body has another shape than the agreed one: a field is
-        missing, of another type or out of range, or the state is not a known one.
+        If the path or the body doesn't match the format: a field is missing, of
+        another type or out of range, or the state is unknown.
     """
     instance_id, _, verb = target.partition("?")[0].removeprefix(PREFIX).partition("/")
     if not instance_id or verb not in ("heartbeat", "deregister"):
         raise MessageMalformedError(
-            f"{target[:80]!r} is no call of a backend server",
+            f"{target[:80]!r} is not an announcement of a backend server",
             "Send a heartbeat or a deregistration",
         )
     try:
@@ -119,7 +118,7 @@
     except (msgspec.DecodeError, RecursionError) as error:
         raise MessageMalformedError(
             f"a {verb} of {instance_id[:80]!r} can't be read: {error}",
-            "Send address, information and status as agreed",
+            "Send address, information and status in the agreed format",
         ) from error
 
 
--- a/azurestep/platform/backoff.py
+++ b/azurestep/platform/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential back-off with full jitter."""
+"""Exponential backoff with full jitter."""
 
 import random
 
@@ -9,15 +9,15 @@
 class Backoff:
     """Delays between attempts.
 
-    Each delay is drawn between zero and a bound that doubles, so that many
-    processes that failed together do not come back together.
+    Each delay is random between zero and a bound that doubles, so that processes
+    that failed at the same time don't retry at the same time.
 
     Parameters
     ----------
     source : random.Random
-        Source of the jitter.
+        Random generator of the jitter.
     first_ms, maximum_ms : float
-        First bound and largest bound of a delay.
+        Initial and largest bound of a delay.
 
     Examples
     --------
@@ -35,11 +35,11 @@
         self._bound_ms = self.first_ms
 
     def next_ms(self) -> float:
-        """Return the next delay."""
+        """Return the next delay and double the bound."""
         bound = self._bound_ms
         self._bound_ms = min(bound * 2, self.maximum_ms)
         return self.source.uniform(0, bound)
 
     def reset(self) -> None:
-        """Start again from the first bound, after a success."""
+        """Reset the bound after a success."""
         self._bound_ms = self.first_ms
--- a/azurestep/platform/boot.py
+++ b/azurestep/platform/boot.py
@@ -1,4 +1,4 @@
-"""How the platform starts a node."""
+"""Start of a node by the platform."""
 
 SETTINGS_VARIABLE = "AZURESTEP_BOOT"
-"""Variable of the environment that holds the path of the settings file."""
+"""Environment variable with the path of the settings file."""
--- a/azurestep/platform/client.py
+++ b/azurestep/platform/client.py
@@ -25,11 +25,11 @@
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Session that carries the requests.
+        Session that requests are sent with.
     base_url : str
         Address of the log, for example ``http://127.0.0.1:7000``.
     environment : Environment
-        Clock and source of jitter.
+        Clock and random generator of the jitter.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         wait_ms: int = 0,
         limit: int = READ_LIMIT_RECORDS,
     ) -> Result[Page, AzurestepError]:
-        """Read records once, waiting up to ``wait_ms`` for one to come."""
+        """Read a page of records, waiting up to ``wait_ms`` for the first one."""
         query = {
             "from": str(from_offset),
             "limit": str(limit),
@@ -71,19 +71,19 @@
     async def append(
         self, stream: str, id: str, body: bytes, deadline_ms: float
     ) -> Result[Receipt, AzurestepError]:
-        """Append a record so that it stands on the log once.
+        """Append a record, without duplicates after lost answers.
 
         Parameters
         ----------
         stream : str
             Name of the stream.
         id : str
-            Value of the record's ``id`` field; after a lost answer the log is
-            read back for it before the record is appended again.
+            Value of the record's ``id`` field. After a lost answer the log is searched
+            for it before the record is appended again.
         body : bytes
             JSON text of the record.
         deadline_ms : float
-            Monotonic time after which to give up.
+            Monotonic time at which to give up.
         """
         backoff = Backoff(self._environment.random)
         read_from: int | None = None
@@ -106,7 +106,7 @@
         return Failure(failure)
 
     async def next_offset(self, stream: str) -> Result[int, AzurestepError]:
-        """Return the offset that the next append will get."""
+        """Return the offset of the next append."""
         result = await self.read(stream, from_offset=OFFSET_MAXIMUM, limit=1)
         return result.map(lambda page: page.next_offset)
 
@@ -129,7 +129,7 @@
     async def append_attempt(
         self, stream: str, body: bytes
     ) -> Result[Receipt, AzurestepError]:
-        """Append a record with one attempt, whose answer may be lost."""
+        """Try once to append a record; a failure may hide a successful append."""
         timeout = aiohttp.ClientTimeout(total=APPEND_TIMEOUT_MS / 1000)
         try:
             async with self._session.post(
--- a/azurestep/platform/document.py
+++ b/azurestep/platform/document.py
@@ -1,4 +1,4 @@
-"""The operators' document, decoded into typed fields."""
+"""Decoding of the operators' configuration document into typed fields."""
 
 import functools
 from typing import Annotated
@@ -11,14 +11,14 @@
 from .units import DURATION_PATTERN, parse_duration_ms
 
 IDEMPOTENT_KINDS = frozenset({"safe", "download"})
-"""Kinds whose requests may run more than once; what else there is runs once."""
+"""Kinds of routes whose requests may run more than once."""
 DEFAULT_TIMEOUT_MS = 30_000.0
 LOWEST_PRIORITY = 9
 DEFAULT_CONNECTION_LIMIT = 100
 MAX_INTEGER = 2**53
-"""Largest whole number that every JSON reader keeps exactly."""
+"""Largest integer that all JSON parsers represent exactly."""
 SERVICE_CACHE_SIZE = 64
-"""Services whose parts are shared between routes."""
+"""Services for which routes without a split share one tuple."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 PathPrefix = Annotated[str, msgspec.Meta(pattern=r"^/(?:.*/)?\Z")]
@@ -73,13 +73,13 @@
 
 
 def read_document(content: bytes) -> Document:
-    """Return what a document says.
+    """Parse a configuration document.
 
     Raises
     ------
     ConfigurationError
-        If the document has another shape than the one that is agreed, or a route
-        leads to a service that it doesn't name.
+        If the document doesn't match the format, or a route refers to a service that
+        the document doesn't define.
     """
     try:
         fields = _DOCUMENT.decode(content)
@@ -95,7 +95,7 @@
 def _configuration_error(cause: str) -> ConfigurationError:
     return ConfigurationError(
         f"the configuration can't be read: {cause}",
-        "The version in force stays; publish one of the agreed shape",
+        "Publish a valid document; the version in force stays",
     )
 
 
@@ -135,17 +135,19 @@
 
 def _check_services(route: Route, services: dict[str, Service]) -> None:
     if not any(part.weight > 0 for part in route.weighted_services):
-        raise _configuration_error(f"no part of route {route.name!r} has a weight")
+        raise _configuration_error(
+            f"route {route.name!r} has no service with a positive weight"
+        )
     for part in route.weighted_services:
         if part.service not in services:
             raise _configuration_error(
-                f"route {route.name!r} leads to the unknown service {part.service!r}"
+                f"route {route.name!r} refers to the unknown service {part.service!r}"
             )
 
 
 @functools.lru_cache(maxsize=SERVICE_CACHE_SIZE)
 def _single_service(service: str) -> tuple[WeightedService, ...]:
-    """Return the parts of a route without a split, shared by all such routes."""
+    """Return the only service of a route, cached as many routes share it."""
     return (WeightedService(service, 1.0),)
 
 
--- a/azurestep/platform/headers.py
+++ b/azurestep/platform/headers.py
@@ -1,6 +1,6 @@
-"""Headers of requests and answers, as the platform spells them.
+"""Headers that the platform prescribes for requests and answers.
 
-The names are translated here once; the rest of the program reads typed fields.
+The rest of the program uses typed fields instead of header names.
 """
 
 import attrs
@@ -36,17 +36,17 @@
 
 @attrs.frozen(slots=True)
 class CallerFields:
-    """What a caller's headers say.
+    """Values of a caller's headers.
 
     Attributes
     ----------
     request_id : bytes
-        Identity of this attempt of the caller; empty if missing.
+        Id of this attempt of the caller; empty if missing.
     remaining_ms : float or None
-        How long the caller will wait, from the arrival of the request.
+        How long the caller waits, counted from the arrival of the request.
     forwarded : Headers
-        Headers for the backend server, without those of one connection and
-        without those that azurestep sets itself.
+        Headers for the backend server, without hop-by-hop headers and those that
+        azurestep sets itself.
     """
 
     host: bytes
@@ -57,26 +57,26 @@
 
 @attrs.frozen(slots=True)
 class AnswerFields:
-    """What a backend server's headers say.
+    """Values of a backend server's headers.
 
     Attributes
     ----------
     request_id : bytes
-        Identity of the request that is answered; empty if missing.
+        Id of the answered request; empty if missing.
     signed : bool
-        Whether the backend server signed the answer as its own.
+        Whether the answer carries a signature.
     not_run : bool
-        Whether the backend server says that it did not run the request.
+        Whether the backend server reports that it did not run the request.
     instance_id : bytes
-        Incarnation of the backend server, where it tells it.
+        Id of the backend server; empty if missing.
     closing : bool
         Whether the backend server will close the connection.
     keep_alive_ms : float or None
-        How long it keeps an idle connection open.
+        How long it keeps an idle connection open; None if unknown.
     encoded : bool
-        Whether the body is not the one that was asked for.
+        Whether the body has a content encoding, which was not requested.
     slots : int or None
-        How many requests the backend server runs at once, where it tells it.
+        Number of requests that the backend server runs at once; None if unknown.
     forwarded : Headers
         Headers for the caller.
     """
@@ -93,7 +93,7 @@
 
 
 def parse_remaining_ms(value: bytes) -> float | None:
-    """Return a deadline header's milliseconds; None if it is no such number.
+    """Return a deadline header's milliseconds; None if it is not a number.
 
     Examples
     --------
@@ -165,7 +165,7 @@
 
 
 def _slots(load: bytes) -> int | None:
-    """Return the slots of a load header: requests running, waiting, slots.
+    """Return the slots in a load header (``running,waiting,slots``).
 
     Examples
     --------
--- a/azurestep/platform/members.py
+++ b/azurestep/platform/members.py
@@ -1,4 +1,4 @@
-"""Records by which nodes find one another through the store."""
+"""Records in the store by which nodes discover one another."""
 
 import ipaddress
 from typing import Annotated
@@ -9,7 +9,7 @@
 from ..errors import MessageMalformedError
 
 FORMAT = 1
-"""Version of these records; those of another version name no node to this one."""
+"""Version of the record format; records of other versions are rejected."""
 MAX_PORT = 65_535
 
 
@@ -23,7 +23,7 @@
 
 
 def write_member(port: int) -> bytes:
-    """Return the record of a node that takes links at a port.
+    """Return the record of a node that accepts links at a port.
 
     Examples
     --------
@@ -34,19 +34,19 @@
 
 
 def read_member(host: str, content: bytes) -> tuple[str, int]:
-    """Return the address of a node.
+    """Parse the record of a node and return its address.
 
     Parameters
     ----------
     host : str
-        Key of the record: the node's IP address.
+        Key of the record, the node's IP address.
     content : bytes
         The record.
 
     Raises
     ------
     MessageMalformedError
-        If another writer made the record, or a node of another version.
+        If the record is malformed or of another version.
     """
     try:
         ipaddress.ip_address(host)
@@ -54,11 +54,11 @@
     except (ValueError, RecursionError) as error:
         raise MessageMalformedError(
             f"the record of node {host[:80]!r} can't be read: {error}",
-            "Find out who wrote it; the other nodes are used",
+            "Find its writer; the records of other nodes are used",
         ) from error
     if fields.format != FORMAT:
         raise MessageMalformedError(
             f"the record of node {host!r} has format {fields.format}",
-            "Run one version of the program",
+            "Run the same version of the program on all nodes",
         )
     return host, fields.port
--- a/azurestep/platform/outcomes.py
+++ b/azurestep/platform/outcomes.py
@@ -1,11 +1,11 @@
-"""What calls to the platform's store come to, and who makes them."""
+"""Typed outcomes of calls to the platform's store."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class Appended:
-    """Records stand on the log from this offset on."""
+    """Records were appended to the log at this offset."""
 
     offset: int
     end_offset: int
@@ -13,7 +13,7 @@
 
 @attrs.frozen(slots=True)
 class KeyedRecord:
-    """The newest value of a key; empty if the key was dropped."""
+    """The latest value of a key; empty if the key was deleted."""
 
     key: str
     value: bytes
@@ -22,7 +22,7 @@
 
 @attrs.frozen(slots=True)
 class Records:
-    """Records read, and the offset of the next read."""
+    """Records of a read, and the offset of the next read."""
 
     values: list[bytes]
     next_offset: int
@@ -30,12 +30,12 @@
 
 @attrs.frozen(slots=True)
 class LatestRecords:
-    """The newest record of each key, and where to read on.
+    """The latest record of each key, and the offset to continue reading at.
 
     Attributes
     ----------
     unreadable : int
-        Records left out, since their key or value can't be read.
+        Number of records skipped because they can't be decoded.
     """
 
     items: list[KeyedRecord]
@@ -45,7 +45,7 @@
 
 @attrs.frozen(slots=True)
 class Truncated:
-    """The records asked for are deleted; the log begins at this offset."""
+    """The requested records were deleted; the log starts at this offset."""
 
     first_offset: int
 
@@ -59,17 +59,17 @@
 
 @attrs.frozen(slots=True)
 class Fenced:
-    """A process with a higher epoch has written as the same producer."""
+    """A process with a higher epoch appended as the same producer."""
 
 
 @attrs.frozen(slots=True)
 class OutOfSequence:
-    """An append of the producer before this one is missing.
+    """An earlier append of the producer is missing.
 
     Attributes
     ----------
     expected : int or None
-        Number that the store waits for, where it tells it.
+        Sequence number that the store expects, if reported.
     """
 
     expected: int | None
@@ -77,16 +77,16 @@
 
 @attrs.frozen(slots=True)
 class Producer:
-    """Who appends, so that a repeated or late append is told from a new one.
+    """Identity of a writer, which lets the store detect repeated and late appends.
 
     Attributes
     ----------
     name : str
-        Identity that outlives a process.
+        Name that stays the same across restarts.
     epoch : int
-        Number of the process; appends of an earlier one are refused.
+        Number of the process; the store rejects appends of earlier epochs.
     sequence : int
-        Number of the append within the epoch; a repeat gets its first answer.
+        Number of the append within the epoch; a repeat gets the original answer.
     """
 
     name: str
@@ -96,12 +96,12 @@
 
 @attrs.frozen(slots=True)
 class Refused:
-    """The store did nothing.
+    """The store rejected the call without effect.
 
     Attributes
     ----------
     status : int
-        Its status: 429 above the rate, 503 while it is away.
+        HTTP status: 429 above the rate limit, 503 while unavailable.
     """
 
     status: int
@@ -109,7 +109,7 @@
 
 @attrs.frozen(slots=True)
 class Unanswered:
-    """No answer came; the call may have been carried out."""
+    """No answer was received; the call may have taken effect."""
 
     cause: str
 
--- a/azurestep/platform/records.py
+++ b/azurestep/platform/records.py
@@ -1,4 +1,4 @@
-"""What the platform's log returns."""
+"""Results of calls to the platform's log."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class LogRecord:
-    """A record as read from the log; ``value`` is its JSON value."""
+    """A record of the log; ``value`` is its decoded JSON value."""
 
     offset: int
     time_ms: int
@@ -18,18 +18,18 @@
 
 @attrs.frozen
 class Page:
-    """One answer to a read.
+    """Answer to a read.
 
     Attributes
     ----------
     first_offset : int
         Earliest offset that the log still holds.
     next_offset : int
-        Offset that the next append will get.
+        Offset of the next append.
     records : list of LogRecord
         Records in the order of their offsets.
     from_offset : int
-        Offset that the read asked for.
+        Offset that the read started at.
     """
 
     first_offset: int
@@ -40,6 +40,6 @@
 
 @attrs.frozen
 class Receipt:
-    """Proof that a record stands on the log."""
+    """Confirmation that a record was appended to the log."""
 
     offset: int
--- a/azurestep/platform/store.py
+++ b/azurestep/platform/store.py
@@ -1,7 +1,7 @@
-"""Client of the platform's store: a log with keyed topics.
+"""Client of the platform's store, a log with keyed topics.
 
-Every outcome is a typed value. A call without an answer may have been carried
-out, and may be later, so callers repeat only what is harmless twice.
+Outcomes are typed values. A call without an answer may take effect, even later, so
+callers repeat only idempotent calls.
 """
 
 import asyncio
@@ -33,8 +33,6 @@
 )
 
 CALL_TIMEOUT_MS = 1000.0
-"""Longest wait for an answer; the store takes some 4 ms, or 60 times that when it
-is slow."""
 CONNECT_TIMEOUT_S = 1.0
 OK = 200
 GONE = 410
@@ -87,7 +85,7 @@
 
 
 class Reply:
-    """Collects the answer to one call."""
+    """Collects the answer to a call and resolves its future."""
 
     def __init__(self, future: "asyncio.Future[tuple[int, bytes]]") -> None:
         self._future = future
@@ -95,26 +93,26 @@
         self._parts: list[bytes] = []
 
     def on_head(self, status: int, headers: Headers) -> bool:
-        """Take the status."""
+        """Store the status."""
         self._status = status
         return True
 
     def on_data(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Add a chunk of the body."""
         self._parts.append(data)
 
     def on_complete(self, reusable: bool) -> None:
-        """Hand the answer over."""
+        """Resolve the future with the answer."""
         if not self._future.done():
             self._future.set_result((self._status, b"".join(self._parts)))
 
     def on_failed(self, reason: str) -> None:
-        """Hand the failure over."""
+        """Resolve the future with an error."""
         if not self._future.done():
             self._future.set_exception(ConnectionError(reason))
 
     def on_writable(self) -> None:
-        """Ignore; calls are short."""
+        """Do nothing: a call is sent at once."""
 
 
 @attrs.define(eq=False)
@@ -124,7 +122,7 @@
     Attributes
     ----------
     on_call : Callable
-        Called with the kind of each call, to count it.
+        Called with the kind of each call, for the metrics.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -145,13 +143,13 @@
         Parameters
         ----------
         topic : str
-            Name of the topic; it is created on first use.
+            Name of the topic, which is created on first use.
         records : list of bytes
-            Appended all or none.
+            Records, which are appended atomically.
         at : int, optional
-            Offset at which the log must end.
+            Required end offset of the log; another one is a conflict.
         producer : Producer, optional
-            Who appends, if a repeat or a late append must do no harm.
+            Identity of the writer, if the append may be repeated or late.
         """
         path = f"/v1/log-append?topic={quote(topic)}&part=0"
         if at is not None:
@@ -171,7 +169,7 @@
     async def put(
         self, topic: str, key: str, value: bytes, producer: Producer | None = None
     ) -> AppendOutcome:
-        """Set the value of a key of a keyed topic; an empty one drops the key."""
+        """Set the value of a key of a keyed topic; an empty value deletes the key."""
         name = key.encode()
         record = bytes([len(name)]) + name + value
         return await self.append(topic, [record], producer=producer)
@@ -179,7 +177,7 @@
     async def read(
         self, topic: str, from_offset: int, wait_ms: int
     ) -> Records | Truncated | Failed:
-        """Read the records from an offset on, waiting for one to come."""
+        """Read records from an offset, waiting up to ``wait_ms`` for the first one."""
         path = f"/v1/log-read?topic={quote(topic)}&part=0&from={from_offset}"
         if wait_ms:
             path += f"&wait_ms={wait_ms}"
@@ -199,7 +197,7 @@
         return _parse_records(content, from_offset)
 
     async def read_latest(self, topic: str) -> LatestRecords | Failed:
-        """Return the newest record of each key of a keyed topic."""
+        """Return the latest record of each key of a keyed topic."""
         items: list[KeyedRecord] = []
         unreadable = 0
         after = ""
@@ -289,7 +287,7 @@
 
 
 def _decode_item(raw: msgspec.Raw) -> KeyedRecord | None:
-    """Return a record of a page, or None if another writer made it unreadable."""
+    """Return a record of a page, or None if it is malformed."""
     try:
         item = _ITEM.decode(raw)
         value = base64.b64decode(item.value or "", validate=True)
@@ -315,14 +313,14 @@
 
 @attrs.frozen(slots=True)
 class KeyValue:
-    """What a record of a keyed topic holds; an empty value drops the key."""
+    """Record of a keyed topic; an empty value deletes the key."""
 
     key: str
     value: bytes
 
 
 def parse_keyed_record(record: bytes) -> KeyValue | None:
-    r"""Return key and value of a record of a keyed topic; None if it is damaged.
+    r"""Parse a record of a keyed topic; return None if it is malformed.
 
     Examples
     --------
--- a/azurestep/platform/topics.py
+++ b/azurestep/platform/topics.py
@@ -1,7 +1,7 @@
-"""Topics and keys of the platform's store that azurestep uses."""
+"""Topics and keys used in the platform's store."""
 
 OPERATOR_TOPIC = "keyed.op"
-"""The operators write it; azurestep only reads it."""
+"""Written by the operators, read-only for azurestep."""
 CONFIGURATION_KEY = "config"
 MEMBERS_TOPIC = "keyed.azurestep-nodes"
-"""One key for each node: its address; the value says where it takes links."""
+"""Records of all nodes by IP address, see ``members``."""
--- a/tests/test_mesh_headers.py
+++ b/tests/test_mesh_headers.py
@@ -1,4 +1,4 @@
-"""Headers between callers, nodes and backend servers."""
+"""Parsing and forwarding of headers between callers and backend servers."""
 
 from azurestep.platform.headers import read_answer, read_caller, to_backend
 
--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store: typed outcomes, repeats, late appends."""
+"""Outcomes of store calls, also after repeated and late appends."""
 
 import asyncio
 from collections.abc import AsyncIterator
