--- a/azurestep/routing/__init__.py
+++ b/azurestep/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routes of the configuration in force, and how requests are matched to them."""
+"""Routes of the configuration and matching of requests to them."""
--- a/azurestep/routing/model.py
+++ b/azurestep/routing/model.py
@@ -1,11 +1,11 @@
-"""What a configuration says of routes, services and limits. Data only."""
+"""Data model of the configuration: routes, services and limits."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class WeightedService:
-    """A share of a route's requests that goes to one service."""
+    """A service that gets a share of a route's requests by its weight."""
 
     service: str
     weight: float
@@ -13,20 +13,20 @@
 
 @attrs.frozen(slots=True)
 class Route:
-    """What holds for requests of one host below one path prefix.
+    """Rules for requests to one host below one path prefix.
 
     Attributes
     ----------
     idempotent : bool
         Whether a request may run more than once.
     timeout_ms : float
-        Longest time that a caller is kept waiting.
+        Longest time until a caller gets an answer.
     objective_ms : float
         Time within which an answer has its full value.
     priority : int
-        Rank under overload; 0 is the highest.
+        Priority under overload; 0 is the highest.
     max_attempts : int
-        Most backend servers that one attempt of a caller may reach.
+        Largest number of backend servers that one attempt of a caller may reach.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 @attrs.frozen(slots=True)
 class Service:
-    """What holds for all backend servers of a service."""
+    """Settings of all backend servers of a service."""
 
     name: str
     health_path: bytes
@@ -51,7 +51,7 @@
 
 @attrs.frozen(slots=True)
 class Limits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Size limits and timeouts for callers."""
 
     header_bytes: int = 16_384
     body_bytes: int = 67_108_864
@@ -61,7 +61,7 @@
 
 @attrs.frozen(slots=True)
 class Document:
-    """One version of the configuration, as the operators wrote it."""
+    """One version of the configuration."""
 
     version: int
     services: dict[str, Service]
--- a/azurestep/routing/table.py
+++ b/azurestep/routing/table.py
@@ -1,4 +1,4 @@
-"""Look-up of routes by host and longest prefix, and the split of a route."""
+"""Route lookup by host and longest prefix, and weighted traffic splits."""
 
 from random import Random
 
@@ -7,13 +7,12 @@
 from .model import Document, Limits, Route, Service, WeightedService
 
 MAX_SKIPPED_REQUESTS = 1000
-"""Requests of a split that are skipped at most before its first one: ten times round
-for weights in whole percents. They take some 0.5 ms, once for each split."""
+"""Bound of the random start position; ten rounds for weights in whole percents."""
 
 
 @attrs.define(slots=True)
 class WeightedRoundRobin:
-    """Deals requests to the parts of a route by smooth weighted round robin.
+    """Distributes requests over services by smooth weighted round robin.
 
     Examples
     --------
@@ -34,11 +33,10 @@
     def with_random_start(
         cls, weighted_services: tuple[WeightedService, ...], random: Random
     ) -> "WeightedRoundRobin":
-        """Return a split that begins at a random place of its round.
+        """Return a split that starts at a random position of its round.
 
-        With a few requests at each node the shares of all nodes then add up to the
-        weights too: when all began with the largest part, and anew with each version,
-        13 nodes never sent any of their first three requests to a part of a tenth.
+        Otherwise all nodes would start with the largest weight, and with few requests
+        at each node the smaller services would get less than their share.
         """
         split = cls(weighted_services)
         for _ in range(random.randrange(MAX_SKIPPED_REQUESTS)):
@@ -60,12 +58,12 @@
 
 @attrs.define(slots=True)
 class RoutingTable:
-    """One version of the configuration, ready for look-ups.
+    """One version of the configuration with an index for lookups.
 
     Attributes
     ----------
     splits : dict
-        Where each route with several parts stands; kept from version to version.
+        State of each route with several services; kept across versions.
     """
 
     document: Document
@@ -85,7 +83,7 @@
 
     @property
     def services(self) -> dict[str, Service]:
-        """Services that a route may lead to."""
+        """Services that routes may refer to."""
         return self.document.services
 
     @property
@@ -94,7 +92,7 @@
         return self.document.limits
 
     def match(self, host: bytes, target: bytes) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest matching prefix of the path, or None."""
         path = target.partition(b"?")[0]
         end = path.rfind(b"/")
         while end >= 0:
@@ -105,7 +103,7 @@
         return None
 
     def choose_service(self, route: Route) -> str:
-        """Return the service of a route's next request, by the parts' weights."""
+        """Return the service for a route's next request according to the weights."""
         if len(route.weighted_services) == 1:
             return route.weighted_services[0].service
         split = self.splits.get(route.name)
@@ -117,7 +115,7 @@
         return split.next_service()
 
     def updated_to(self, document: Document) -> "RoutingTable":
-        """Return the table of a later document, whose splits go on where they are."""
+        """Return the table of a later document, which keeps the state of the splits."""
         names = {
             route.name for route in document.routes if len(route.weighted_services) > 1
         }
--- a/tests/test_mesh_routes.py
+++ b/tests/test_mesh_routes.py
@@ -1,4 +1,4 @@
-"""Routes, splits and the operator's document."""
+"""Routes, traffic splits and decoding of the configuration document."""
 
 from random import Random
 
@@ -49,9 +49,9 @@
 
 
 def split_share(nodes: int, requests: int, a: float, b: float, seed: int) -> float:
-    """Return the share of the smaller part at nodes with few requests of their own.
+    """Return the share of service ``b`` over nodes with few requests each.
 
-    A new version comes after each request, as in a storm of configurations.
+    Each request is followed by a new version, which must not reset the splits.
     """
     taken = []
     for index in range(nodes):
