--- a/azurestep/quarantine/__init__.py
+++ b/azurestep/quarantine/__init__.py
@@ -1,7 +1,6 @@
-"""Requests that crash the backend servers that run them: told apart and refused.
+"""Quarantine of requests that crash the backend servers that run them.
 
-Pure and free of heavy imports, so that the lean node on the platform shares it with
-the product's own.
+Free of I/O and of heavy imports, as all kinds of nodes use it.
 """
 
 from .fingerprints import BODY_PREFIX_BYTES, fingerprint
--- a/azurestep/quarantine/fingerprints.py
+++ b/azurestep/quarantine/fingerprints.py
@@ -1,4 +1,4 @@
-"""Fingerprints that tell the same request sent again."""
+"""Fingerprints that identify repeated requests."""
 
 import xxhash
 
--- a/azurestep/quarantine/suspects.py
+++ b/azurestep/quarantine/suspects.py
@@ -1,4 +1,4 @@
-"""Records and messages of the quarantine."""
+"""Records of the quarantine and updates for other nodes."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class QuarantineStatus(StrEnum):
-    """How a fingerprint is treated."""
+    """How requests with a fingerprint are treated."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -17,16 +17,16 @@
 
 @attrs.frozen
 class QuarantineUpdate:
-    """What one node tells the others of a fingerprint.
+    """Report of a fingerprint to other nodes.
 
     Attributes
     ----------
     fingerprint : int
-        Which request.
+        Fingerprint of the request.
     deaths : tuple of EndpointKey
         Backend servers that died with it in flight.
     refused_for_ms : float
-        Rest of the refusal; 0 for a mere suspect.
+        Time left of the quarantine; 0 for a suspect.
     """
 
     fingerprint: int
@@ -36,23 +36,23 @@
 
 @attrs.define
 class Suspect:
-    """Record of one fingerprint.
+    """State of one fingerprint.
 
     Attributes
     ----------
     deaths : set of EndpointKey
         Backend servers that died with it in flight.
     pending : dict
-        Connections lost with it in flight, by backend server with the time,
-        until that server proves dead or alive.
+        Times at which connections were lost with it in flight, by backend server,
+        until that server is known to be dead or alive.
     survivals : int
-        Times it ran to an answer since it was first suspected.
+        Number of answers since it was first suspected.
     running : dict
-        Attempts in flight now, by backend server.
+        Attempts in flight, by backend server.
     refused_until_ms : float
-        End of the refusal; negative infinity for none.
+        End of the quarantine; negative infinity for none.
     expiry_ms : float
-        When the record is dropped.
+        When the record expires.
     """
 
     deaths: set[EndpointKey] = attrs.field(factory=set)
--- a/azurestep/quarantine/table.py
+++ b/azurestep/quarantine/table.py
@@ -1,11 +1,11 @@
 """Quarantine of requests that crash the backend servers that run them.
 
-A fingerprint whose request was in flight on a backend server as that died is a
-suspect. It is refused once it is more likely the cause than chance is:
+A fingerprint whose request was in flight on a backend server that died is a
+suspect. It is refused if all of these hold:
 
 - it was in flight at the deaths of ``deaths_to_refuse`` distinct servers,
-- those deaths outnumber the times it ran without one, and
-- under the rate of the *other* deaths of late, the coincidence is improbable.
+- those deaths outnumber its answers, and
+- a coincidence is improbable at the recent rate of other deaths.
 """
 
 from collections import OrderedDict, deque
@@ -26,16 +26,16 @@
 
 
 class Quarantine:
-    """Bounded table of suspects of one service at one node.
+    """Bounded table of the suspects of one service at one node.
 
     Parameters
     ----------
     deaths_to_refuse : int
-        Distinct deaths from which a fingerprint may be refused.
+        Number of distinct deaths required to refuse a fingerprint.
     size : int
-        Records kept; the one unused for longest goes first.
+        Maximum number of records; the least recently used one is evicted first.
     weigh_chance : bool
-        Whether coincidence with other deaths is weighed; off for comparison.
+        Whether the probability of a coincidence is considered.
     """
 
     def __init__(
@@ -59,11 +59,11 @@
 
     @property
     def active(self) -> bool:
-        """Whether any fingerprint is on record; if not, none need be computed."""
+        """Whether there are any records; without them no fingerprint is needed."""
         return bool(self._suspects)
 
     def status_of(self, fingerprint: int, now_ms: float) -> QuarantineStatus:
-        """Return how a request is to be treated."""
+        """Return how to treat a request."""
         suspect = self._get_current(fingerprint, now_ms)
         if suspect is None:
             return QuarantineStatus.CLEAR
@@ -74,9 +74,9 @@
         return QuarantineStatus.CLEAR
 
     def servers_with_suspects(self, now_ms: float) -> tuple[EndpointKey, ...]:
-        """Return the servers that run a suspect, which another must avoid.
+        """Return the servers that run a suspect, which other suspects must avoid.
 
-        Two suspects on one server would share the blame for its death.
+        With two suspects on one server, its death could not be attributed.
         """
         return tuple(
             key
@@ -86,13 +86,13 @@
         )
 
     def record_start(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
-        """Note that an attempt is sent; cheap when it is no suspect."""
+        """Record the start of an attempt."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.running[key] = suspect.running.get(key, 0) + 1
 
     def record_answer(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
-        """Note that an attempt brought an answer: the server survived it."""
+        """Record an answer to an attempt, which the server survived."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return
@@ -102,13 +102,13 @@
             self._drop(fingerprint)
 
     def record_end(self, fingerprint: int, key: EndpointKey) -> None:
-        """Note that an attempt ended in a way that says nothing."""
+        """Record the end of an attempt without evidence for or against it."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             self._count_end(suspect, key)
 
     def record_loss(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
-        """Note a connection lost before the first byte of the answer."""
+        """Record a connection lost before the first byte of the answer."""
         suspect = self._get_or_create(fingerprint, now_ms)
         self._count_end(suspect, key)
         if key in self._dead:
@@ -119,21 +119,21 @@
     def record_death(
         self, key: EndpointKey, now_ms: float, servers: int
     ) -> list[QuarantineUpdate]:
-        """Note that a backend server is dead for certain.
+        """Record the confirmed death of a backend server.
 
         Parameters
         ----------
         key : EndpointKey
-            Which.
+            Key of the server.
         now_ms : float
-            Present time.
+            Current time.
         servers : int
-            Backend servers of the service, dead ones included.
+            Number of backend servers of the service, including dead ones.
 
         Returns
         -------
         list of QuarantineUpdate
-            News for the other nodes.
+            Updates for the other nodes.
         """
         if key in self._dead:
             return []
@@ -148,14 +148,14 @@
         return updates
 
     def record_alive(self, key: EndpointKey) -> None:
-        """Note that a lost connection didn't mean a death."""
+        """Record that a server is alive in spite of lost connections."""
         for fingerprint, suspect in list(self._suspects.items()):
             suspect.pending.pop(key, None)
             if not suspect.pending and not suspect.deaths:
                 self._drop(fingerprint)
 
     def export(self, now_ms: float) -> list[QuarantineUpdate]:
-        """Return everything that other nodes should know."""
+        """Return all records that other nodes need."""
         return [
             self._make_update(fingerprint, suspect, now_ms)
             for fingerprint, suspect in self._suspects.items()
@@ -168,17 +168,17 @@
         now_ms: float,
         servers: int | None = None,
     ) -> None:
-        """Take over what other nodes saw.
+        """Merge updates of other nodes.
 
         Parameters
         ----------
         updates : iterable of QuarantineUpdate
-            What they told.
+            Received updates.
         now_ms : float
-            Present time.
+            Current time.
         servers : int or None
-            Backend servers of the service; None keeps the number last told.
-            Too small a number makes refusals rarer, never more frequent.
+            Number of backend servers of the service; None keeps the last known number.
+            A number that is too small makes refusals rarer.
         """
         if servers is not None:
             self._servers = max(servers, 1)
