--- a/azurestep/http/client.py
+++ b/azurestep/http/client.py
@@ -1,7 +1,7 @@
-"""Connections to backend servers and to the platform's store.
+"""HTTP client connections to backend servers and to the platform's store.
 
-One request at a time on a connection. An answer that belongs to another request
-is skipped, and a connection with bytes that belong to no request is closed.
+A connection carries one request at a time. An answer to another request is skipped,
+and a connection that receives unexpected bytes is closed.
 """
 
 import asyncio
@@ -14,40 +14,39 @@
 FIRST_FINAL_STATUS = 200
 WITHOUT_BODY = frozenset({204, 304})
 REUSE_LIMIT_RATIO = 0.6
-"""Part of the idle time at which a connection was found forgotten up to which the
-others are trusted: the true limit is below that time, by an unknown amount."""
+"""New reuse limit as a ratio of the idle time at which a connection was found closed,
+since the actual limit of the other end is lower than that time."""
 MIN_REUSE_LIMIT_MS = 50.0
-"""Idle time that is always trusted; with less, most requests would need a new
-connection, each of which takes the backend server about 1 ms."""
+"""Lower bound of the reuse limit, so that most requests still reuse a connection."""
 REUSE_LIMIT_RESET_S = 10.0
-"""Time after which longer idle times are tried again."""
+"""Time after which a reduced reuse limit is reset."""
 
 
 FAULT = "fault"
-"""Reason of a failure for which this program is to blame, not the other end."""
+"""Reason of a failure caused by an internal error, not by the other end."""
 
 
 class AnswerSink(Protocol):
-    """What takes the answer to one request."""
+    """Receiver of the answer to one request."""
 
     def on_head(self, status: int, headers: Headers) -> bool:
-        """Take the head; False if the answer belongs to another request."""
+        """Process the head; return False if it belongs to another request."""
 
     def on_data(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Process a chunk of the body."""
 
     def on_complete(self, reusable: bool) -> None:
-        """Learn that the answer is whole."""
+        """Handle the end of a complete answer."""
 
     def on_failed(self, reason: str) -> None:
-        """Learn that no whole answer comes."""
+        """Handle a failure before the answer was complete."""
 
     def on_writable(self) -> None:
-        """Learn that the other end takes bytes again."""
+        """Handle that the write buffer has room again."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection; a sink is attached while a request is unanswered."""
+    """One connection; a sink is attached while an answer is pending."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -68,21 +67,21 @@
         self.idle_limit_ms: float | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport  # type: ignore[assignment]
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be sent."""
+        """Whether the connection can carry another request."""
         return not (self.lost or self._dirty or self._sink is not None)
 
     @property
     def writable(self) -> bool:
-        """Whether the other end takes bytes."""
+        """Whether the write buffer has room."""
         return not self._paused_writing
 
     def send(self, data: bytes, sink: AnswerSink, whole: bool) -> None:
-        """Send a request, or its beginning, and attach the sink."""
+        """Send a request, or the start of it, and attach the sink."""
         self._sink = sink
         self._skipping = False
         self._sent_whole = whole
@@ -97,7 +96,7 @@
             self._transport.write(data)
 
     def abort(self) -> None:
-        """Reset the connection; the sink hears nothing more."""
+        """Reset the connection without notifying the sink."""
         self._sink = None
         self.lost = True
         if self._transport is not None:
@@ -110,29 +109,29 @@
             self._transport.close()
 
     def pause_reading(self) -> None:
-        """Take no more bytes of the answer."""
+        """Stop reading the answer."""
         if self._transport is not None and not (self.lost or self._paused_reading):
             self._paused_reading = True
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Take bytes of the answer again."""
+        """Continue to read the answer."""
         if self._transport is not None and self._paused_reading and not self.lost:
             self._paused_reading = False
             self._transport.resume_reading()
 
     def pause_writing(self) -> None:
-        """Note that the other end takes no bytes."""
+        """Record that the write buffer is full."""
         self._paused_writing = True
 
     def resume_writing(self) -> None:
-        """Pass on that the other end takes bytes again."""
+        """Notify the sink that the write buffer has room again."""
         self._paused_writing = False
         if self._sink is not None:
             self._sink.on_writable()
 
     def data_received(self, data: bytes) -> None:
-        """Parse an answer."""
+        """Parse received bytes of an answer."""
         if self._sink is None:
             self.close()
             return
@@ -148,10 +147,10 @@
             self.close()
 
     def _fault(self, sink: AnswerSink) -> None:
-        """End a request whose sink raised; the event loop's handler tells the fault.
+        """Fail a request whose sink raised; the event loop reports the error.
 
-        The sink may have been let go before it raised, and hears of its end all the
-        same: taken for a malformed answer, the request was left without any.
+        The sink is passed in, since it may have been detached before it raised and
+        still has to be notified.
         """
         self._sink = None
         self._dirty = True
@@ -161,29 +160,29 @@
             self.close()
 
     def eof_received(self) -> bool:
-        """End an answer whose length is that of its connection."""
+        """Complete an answer that ends with its connection."""
         if self._sink is not None and self._until_close and not self._skipping:
             self._dirty = True
             self._finish()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the request that is unanswered."""
+        """Fail the pending request."""
         self.lost = True
         self._fail("closed" if exc is None else "reset")
 
     def on_message_begin(self) -> None:
-        """Start an answer."""
+        """Start a new answer."""
         self._headers = []
         if self._sink is None:
             self._dirty = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Offer the head to the sink."""
+        """Pass the head to the sink."""
         status = self._parser.get_status_code()
         self._informational = status < FIRST_FINAL_STATUS
         if self._informational or self._sink is None:
@@ -198,12 +197,12 @@
         self._skipping = not self._sink.on_head(status, self._headers)
 
     def on_body(self, data: bytes) -> None:
-        """Pass on a piece of the body."""
+        """Pass a chunk of the body to the sink."""
         if self._sink is not None and not self._skipping:
             self._sink.on_data(data)
 
     def on_message_complete(self) -> None:
-        """End the answer, unless it belongs to another request."""
+        """Complete the answer unless it belongs to another request."""
         if self._informational or self._sink is None:
             return
         if self._skipping:
@@ -212,11 +211,10 @@
         self._finish()
 
     def _finish(self) -> None:
-        """End the answer.
+        """Complete the answer.
 
-        Its last bytes may have filled the receiver's window. A connection that was kept
-        with its reading paused lost the answer to the next request, which then timed
-        out: three to six times a day of 35,000 requests.
+        Reading is resumed first: the last bytes may have paused it, and a connection
+        reused in that state would never read the next answer.
         """
         self.resume_reading()
         sink, self._sink = self._sink, None
@@ -235,12 +233,12 @@
 
 @attrs.define
 class IdlePool:
-    """Idle connections to one address, the last used first.
+    """Pool of idle connections to one address, most recently used first.
 
     Attributes
     ----------
     idle_limit_ms : float
-        Longest time that a connection is kept without a request.
+        Longest time that a connection is kept idle.
     """
 
     idle_limit_ms: float
@@ -250,30 +248,30 @@
 
     @property
     def reuse_limit_ms(self) -> float:
-        """Idle time up to which the other end is known to keep a connection."""
+        """Idle time up to which a connection is reused."""
         return min(self.idle_limit_ms, self._reduced_limit_ms)
 
     def reduce_reuse_limit(self, idle_ms: float, now_s: float) -> None:
-        """Learn that the other end forgot a connection that rested so long."""
+        """Reduce the limit after the other end closed a connection idle so long."""
         new_limit_ms = max(MIN_REUSE_LIMIT_MS, idle_ms * REUSE_LIMIT_RATIO)
         self._reduced_limit_ms = min(self.reuse_limit_ms, new_limit_ms)
         self._reduced_at_s = now_s
 
     def reset_reuse_limit(self) -> None:
-        """Forget what was learned of the other end."""
+        """Reset the reuse limit to its configured value."""
         self._reduced_limit_ms = float("inf")
 
     def take(
         self, now_s: float, max_idle_ms: float | None = None
     ) -> ClientConnection | None:
-        """Return a usable connection, or None.
+        """Remove a usable connection from the pool and return it, or None.
 
         Parameters
         ----------
         now_s : float
             Time of the event loop.
         max_idle_ms : float, optional
-            Most time since the last answer on it.
+            Maximum time since the last answer on the connection.
         """
         while self._connections:
             connection = self._connections.pop()
@@ -290,12 +288,12 @@
         return None
 
     def put(self, connection: ClientConnection, now_s: float) -> None:
-        """Keep a connection for a later request."""
+        """Add a connection to the pool."""
         connection.idle_since_s = now_s
         self._connections.append(connection)
 
     def sweep(self, now_s: float) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections that were idle too long."""
         if now_s - self._reduced_at_s > REUSE_LIMIT_RESET_S:
             self.reset_reuse_limit()
         kept = []
@@ -315,5 +313,5 @@
         self._connections = []
 
     def __len__(self) -> int:
-        """Return how many connections are idle."""
+        """Return the number of idle connections."""
         return len(self._connections)
--- a/azurestep/http/exchange.py
+++ b/azurestep/http/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller's connection and its answer."""
+"""A request on a caller's connection and its answer."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -11,61 +11,61 @@
 
 
 class Connection(Protocol):
-    """The connection of a caller, as its exchanges need it."""
+    """Interface between an exchange and its connection."""
 
     def flush(self) -> None:
-        """Write what is ready, in the order of the requests."""
+        """Write available answers in the order of their requests."""
 
     def abort(self) -> None:
         """Reset the connection."""
 
     def pause_reading(self) -> None:
-        """Take no more bytes from the caller."""
+        """Stop reading from the caller."""
 
     def resume_reading(self) -> None:
-        """Take bytes from the caller again."""
+        """Continue to read from the caller."""
 
     def is_writable(self, exchange: "Exchange") -> bool:
-        """Whether an answer's bytes leave now, with room in the send buffer."""
+        """Whether an answer is first in line and the send buffer has room."""
 
     def closes_after(self, exchange: "Exchange") -> bool:
-        """Whether the connection ends after the answer to a request."""
+        """Whether the connection closes after the answer to a request."""
 
 
 class BodySink(Protocol):
-    """What takes the body of one request and hears when its caller is gone."""
+    """Receiver of one request's body and of events on its connection."""
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Process a chunk of the body."""
 
     def on_end(self) -> None:
-        """Learn that the body is whole."""
+        """Handle the end of the body."""
 
     def on_disconnect(self) -> None:
-        """Learn that the caller closed the connection."""
+        """Handle that the caller closed the connection."""
 
     def on_writable(self) -> None:
-        """Learn that the caller takes more bytes of the answer."""
+        """Handle that the send buffer has room again."""
 
     def on_fault(self) -> None:
-        """Stop: a fault of this program came in one of the methods above.
+        """Stop after an internal error in one of the methods above.
 
-        What is not answered then is answered by the connection.
+        If no answer was sent, the connection sends one.
         """
 
 
 @attrs.define(slots=True, eq=False)
 class Exchange:
-    """One request of a connection and its answer.
+    """A request on a connection and its answer.
 
     Attributes
     ----------
     keep_alive : bool
         Whether the caller keeps the connection open after the answer.
     received : bool
-        Whether the request was read whole.
+        Whether the complete request was read.
     failed : bool
-        Whether a fault of this program came while it was handled.
+        Whether an internal error occurred while it was handled.
     """
 
     connection: Connection
@@ -83,7 +83,7 @@
     parts: list[bytes] = attrs.field(factory=list)
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         if self.finished:
             return
         answer = self._head(status, headers, b"%d" % len(body)) + body
@@ -93,7 +93,7 @@
         self.connection.flush()
 
     def begin(self, status: int, headers: Headers, length: int | None) -> None:
-        """Send the head of an answer whose body follows; None means chunked."""
+        """Send the head of a streamed answer; a length of None means chunked."""
         content_length = None if length is None else b"%d" % length
         head = self._head(status, headers, content_length)
         self.started = True
@@ -101,22 +101,22 @@
         self.connection.flush()
 
     def write(self, data: bytes) -> None:
-        """Send a piece of the body, framed by the caller of this method."""
+        """Send bytes of the body, already framed if chunked."""
         self.parts.append(data)
         self.connection.flush()
 
     def finish(self) -> None:
-        """End an answer that ``begin`` started."""
+        """Complete a streamed answer."""
         self.finished = True
         self.connection.flush()
 
     def reset(self) -> None:
-        """Reset the connection, so that a cut answer doesn't look complete."""
+        """Reset the connection, so that a truncated answer doesn't look complete."""
         self.connection.abort()
 
     @property
     def writable(self) -> bool:
-        """Whether bytes written now leave for the caller soon."""
+        """Whether the connection can write this answer now."""
         return self.connection.is_writable(self)
 
     def _head(self, status: int, headers: Headers, length: bytes | None) -> bytes:
@@ -138,5 +138,5 @@
 
 
 def answer_error(exchange: Exchange) -> None:
-    """Answer that this program failed."""
+    """Answer 500 after an internal error."""
     exchange.answer(HTTPStatus.INTERNAL_SERVER_ERROR, [], b"")
--- a/azurestep/http/server.py
+++ b/azurestep/http/server.py
@@ -1,8 +1,6 @@
-"""Serving HTTP/1.1: requests of one connection run side by side, answers in order.
+"""HTTP/1.1 server that handles pipelined requests of a connection concurrently.
 
-A request behind another on its connection does not wait for it. With aiohttp's
-server, which handles one request of a connection at a time, 67% of pipelined
-reads were answered within their objective on a quiet day; side by side it was 93%.
+Answers are sent in the order of the requests.
 """
 
 import asyncio
@@ -22,21 +20,21 @@
 
 @attrs.define
 class ServerState:
-    """What all connections of a listener share.
+    """Shared state of all connections of a listener.
 
     Attributes
     ----------
     handler : Handler
-        Called when the head of a request is read; it sets the exchange's sink.
+        Called after the head of a request was read; it sets the exchange's sink.
     limits : Limits
-        What a caller may send.
+        Size limits and timeouts of requests.
     on_fault : Callable
-        Called with a fault of this program, and whether only its request failed; if
-        not, the connection is reset.
+        Called with an internal error, and whether only its request failed; otherwise
+        the connection is reset.
     answer_fault : Handler
-        Answers a request whose handler failed.
+        Answers a request after an internal error.
     draining : bool
-        Whether answers ask callers to close their connections.
+        Whether connections close after their pending answers.
     """
 
     handler: Handler
@@ -47,13 +45,13 @@
     connections: "set[ServerConnection]" = attrs.field(factory=set)
 
     def sweep(self, now_s: float) -> None:
-        """Close idle connections and those whose request head takes too long."""
+        """Enforce the timeouts of all connections."""
         for connection in list(self.connections):
             connection.check_timeouts(now_s)
 
     @property
     def busy(self) -> bool:
-        """Whether a request is unanswered, or bytes of an answer have not left."""
+        """Whether any connection has a pending answer or unsent bytes."""
         return any(connection.busy for connection in self.connections)
 
 
@@ -84,7 +82,7 @@
         self.state.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell all requests that their caller is gone."""
+        """Notify all pending requests that the caller disconnected."""
         self.state.connections.discard(self)
         self._closing = True
         exchanges, self.exchanges = self.exchanges, deque()
@@ -93,7 +91,7 @@
             self._notify_disconnect(exchange)
 
     def _notify_disconnect(self, exchange: Exchange) -> None:
-        """Tell one request; a fault there keeps no other from being told."""
+        """Notify a request; an error in its sink doesn't affect other requests."""
         try:
             if exchange.sink is not None:
                 exchange.sink.on_disconnect()
@@ -101,9 +99,10 @@
             self.state.on_fault(error, True)
 
     def _end_on_fault(self, exchange: Exchange, error: Exception) -> None:
-        """End the request that met a fault of this program; the others go on.
+        """End a request after an internal error; other requests are unaffected.
 
-        Before it was read whole, its answer would close the connection.
+        It is answered once it was read completely: an earlier answer would close the
+        connection.
         """
         self.state.on_fault(error, True)
         exchange.failed = True
@@ -125,7 +124,7 @@
             self.state.answer_fault(exchange)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the caller sent."""
+        """Parse received bytes."""
         if self._closing:
             return
         self._last_activity_s = self._loop.time()
@@ -145,11 +144,11 @@
             self._reject(HTTPStatus.BAD_REQUEST)
 
     def pause_writing(self) -> None:
-        """Note that the caller does not take bytes."""
+        """Record that the send buffer is full."""
         self._paused_writing = True
 
     def resume_writing(self) -> None:
-        """Pass on that the caller takes bytes again."""
+        """Notify the first request that the send buffer has room again."""
         self._paused_writing = False
         self._notify_writable()
 
@@ -162,7 +161,7 @@
                 self._end_on_fault(exchange, error)
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Start a new request."""
         self._headers = []
         self._target = b""
         self._head_bytes = 0
@@ -170,15 +169,15 @@
         self._in_head = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the request target."""
+        """Add a chunk of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Hand the request to the handler."""
+        """Pass the request to the handler unless it exceeds a limit."""
         if self._closing:
             return
         self._in_head = False
@@ -214,7 +213,7 @@
                 self._end_on_fault(exchange, error)
 
     def on_body(self, data: bytes) -> None:
-        """Pass on a piece of the body."""
+        """Pass a chunk of the body to the sink."""
         exchange = self._reading
         if exchange is None or self._closing:
             return
@@ -229,7 +228,7 @@
                 self._end_on_fault(exchange, error)
 
     def on_message_complete(self) -> None:
-        """Tell the sink that the request is whole."""
+        """Notify the sink of the end of the request."""
         exchange, self._reading = self._reading, None
         if exchange is None or self._closing:
             return
@@ -248,19 +247,19 @@
         self.flush()
 
     def pause_reading(self) -> None:
-        """Take no more bytes from the caller."""
+        """Stop reading from the caller."""
         if not self._paused_reading and self._transport is not None:
             self._paused_reading = True
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Take bytes from the caller again."""
+        """Continue to read from the caller."""
         if self._paused_reading and self._transport is not None:
             self._paused_reading = False
             self._transport.resume_reading()
 
     def closes_after(self, exchange: Exchange) -> bool:
-        """Whether the connection ends after the answer to a request."""
+        """Whether the connection closes after the answer to a request."""
         if not exchange.keep_alive or not exchange.received:
             self._closing = True
             return True
@@ -271,10 +270,10 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a request is unanswered, or bytes of an answer have not left.
+        """Whether an answer is pending or the send buffer has unsent bytes.
 
-        A process that ends drops what its send buffers hold: a caller that takes 4 MB
-        slowly was missing the end of its answer.
+        Unsent bytes count because a process that exits discards them, which would
+        truncate an answer to a slow caller.
         """
         if self.exchanges:
             return True
@@ -282,12 +281,12 @@
         return transport is not None and transport.get_write_buffer_size() > 0
 
     def is_writable(self, exchange: Exchange) -> bool:
-        """Whether an answer's bytes leave now, with room in the send buffer."""
+        """Whether an answer is first in line and the send buffer has room."""
         first = bool(self.exchanges) and self.exchanges[0] is exchange
         return first and not self._paused_writing
 
     def flush(self) -> None:
-        """Write what is ready, in the order of the requests."""
+        """Write available answers in the order of their requests."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -319,13 +318,13 @@
             self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is unanswered or half read."""
+        """Close the connection unless a request is pending or being read."""
         if not self.exchanges and not self._in_head and self._transport is not None:
             self._closing = True
             self._transport.close()
 
     def check_timeouts(self, now_s: float) -> None:
-        """Enforce the idle and header times."""
+        """Enforce the idle timeout and the timeout of request heads."""
         age_ms = (now_s - self._last_activity_s) * 1000
         if self._in_head and age_ms > self.state.limits.header_timeout_ms:
             self._reject(HTTPStatus.REQUEST_TIMEOUT)
@@ -337,7 +336,7 @@
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _reject(self, status: HTTPStatus) -> None:
-        """Answer what can't be served and close once earlier answers are out."""
+        """Send an error and close the connection after all earlier answers."""
         exchange = self._reading
         if exchange is None:
             exchange = Exchange(self, b"", b"", [], False, False, 0)
