--- a/azurestep/mesh/endpoints.py
+++ b/azurestep/mesh/endpoints.py
@@ -122,7 +122,7 @@
     exchange : Exchange
         The request.
     respond : Callable
-        Called with the exchange and the whole body.
+        Called with the exchange and the complete body.
     """
 
     def __init__(
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -366,7 +366,7 @@
         except OSError as error:
             raise PortInUseError(
                 f"{address[0]}:{address[1]} can't be bound: {error.strerror}",
-                "End the process that holds it, or change the settings",
+                "Stop the process that uses the address, or change the settings",
             ) from error
         self._servers.append(server)
 
--- a/azurestep/platform/outcomes.py
+++ b/azurestep/platform/outcomes.py
@@ -52,7 +52,7 @@
 
 @attrs.frozen(slots=True)
 class Conflict:
-    """The condition of an append did not hold."""
+    """The condition of an append was not met."""
 
     end_offset: int
 
