--- a/azurestep/mesh/messages.py
+++ b/azurestep/mesh/messages.py
@@ -112,7 +112,7 @@
     failure_ratio : float
         Ratio of recent runs at the backend server that failed.
     callers, refusals : tuple
-        Fields of ``pressure.Report``.
+        Fields of ``pressure.PressureReport``.
     """
 
     service: str
--- a/tests/test_mesh_foreign_records.py
+++ b/tests/test_mesh_foreign_records.py
@@ -160,7 +160,7 @@
             assert await announce(mesh.session, instance.host, name, body) == 400
     backend = instance.node.backend
     assert backend.instance_id == "i-1"
-    assert not backend.doubted_id
+    assert not backend.conflicting_id
 
 
 async def test_backend_server_can_leave_after_its_service_was_removed(
