--- a/azurestep/mesh/endpoints.py
+++ b/azurestep/mesh/endpoints.py
@@ -86,8 +86,8 @@
     """
     if not isinstance(notice, Heartbeat):
         return
-    known = backend.announced_service(notice.instance_id)
-    if notice.service != known and not is_service(notice.service):
+    accepted_service = backend.announced_service(notice.instance_id)
+    if notice.service != accepted_service and not is_service(notice.service):
         raise MessageMalformedError(
             f"{notice.instance_id[:80]!r} announces the unknown service"
             f" {notice.service!r}",
--- a/azurestep/platform/document.py
+++ b/azurestep/platform/document.py
@@ -10,7 +10,7 @@
 from ..routing.model import Document, Limits, Route, Service, WeightedService
 from .units import DURATION_PATTERN, parse_duration_ms
 
-IDEMPOTENT_KINDS = frozenset({"safe", "download"})
+IDEMPOTENT_ROUTE_KINDS = frozenset({"safe", "download"})
 """Kinds of routes whose requests may run more than once."""
 DEFAULT_TIMEOUT_MS = 30_000.0
 LOWEST_PRIORITY = 9
@@ -114,7 +114,7 @@
         name=name,
         host=fields.host.lower().encode(),
         prefix=fields.path_prefix.encode(),
-        idempotent=fields.route_kind in IDEMPOTENT_KINDS,
+        idempotent=fields.route_kind in IDEMPOTENT_ROUTE_KINDS,
         timeout_ms=timeout_ms,
         objective_ms=objective_ms,
         priority=fields.priority,
--- a/azurestep/platform/headers.py
+++ b/azurestep/platform/headers.py
@@ -147,19 +147,19 @@
 
 def read_answer(headers: Headers) -> AnswerFields:
     """Read a backend server's headers."""
-    known = {name.lower(): value for name, value in headers}
+    values = {name.lower(): value for name, value in headers}
     connection_options = _connection_options(headers)
     dropped = HOP_BY_HOP | connection_options | {SERVER_LOAD}
-    keep_alive = known.get(b"keep-alive")
+    keep_alive = values.get(b"keep-alive")
     return AnswerFields(
-        request_id=known.get(REQUEST_ID, b""),
-        signed=SIGNATURE in known,
-        not_run=NOT_RUN in known,
-        instance_id=known.get(INSTANCE, b""),
+        request_id=values.get(REQUEST_ID, b""),
+        signed=SIGNATURE in values,
+        not_run=NOT_RUN in values,
+        instance_id=values.get(INSTANCE, b""),
         closing=b"close" in connection_options,
         keep_alive_ms=None if keep_alive is None else _keep_alive_ms(keep_alive),
-        encoded=b"content-encoding" in known,
-        slots=_slots(known.get(SERVER_LOAD, b"")),
+        encoded=b"content-encoding" in values,
+        slots=_slots(values.get(SERVER_LOAD, b"")),
         forwarded=[field for field in headers if field[0].lower() not in dropped],
     )
 
--- a/azurestep/platform/store.py
+++ b/azurestep/platform/store.py
@@ -188,10 +188,10 @@
             return answer
         status, content = answer
         if status == GONE:
-            gone = self._decode(content, _TruncatedAnswer)
-            if isinstance(gone, Unanswered):
-                return gone
-            return Truncated(gone.first_offset)
+            truncated = self._decode(content, _TruncatedAnswer)
+            if isinstance(truncated, Unanswered):
+                return truncated
+            return Truncated(truncated.first_offset)
         if status != OK:
             return Refused(status)
         return _parse_records(content, from_offset)
@@ -260,14 +260,16 @@
 
     def _append_outcome(self, status: int, content: bytes) -> AppendOutcome:
         if status == OK:
-            done = self._decode(content, _AppendAnswer)
-            if isinstance(done, Unanswered):
-                return done
-            return Appended(done.offset, done.end_offset)
+            appended = self._decode(content, _AppendAnswer)
+            if isinstance(appended, Unanswered):
+                return appended
+            return Appended(appended.offset, appended.end_offset)
         if status == PRECONDITION_FAILED:
-            moved = self._decode(content, _ConditionAnswer)
+            condition = self._decode(content, _ConditionAnswer)
             return (
-                moved if isinstance(moved, Unanswered) else Conflict(moved.end_offset)
+                condition
+                if isinstance(condition, Unanswered)
+                else Conflict(condition.end_offset)
             )
         conflict = self._decode(content, _ConflictAnswer)
         if isinstance(conflict, Unanswered):
