--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -128,7 +128,7 @@
 ) -> None:
     instance = mesh.instances[0]
     mesh.store.trouble, mesh.store.late_s = Trouble.LATE, 0.6
-    await instance.node.discovery.leave()
+    await instance.node.discovery.deregister()
     mesh.store.trouble = Trouble.NONE
     assert instance.task is not None
     instance.task.cancel()
