--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -41,16 +41,16 @@
 """Interval of the main loop."""
 STATE_TICKS = 2
 """Ticks between checks whether to report the load to peers."""
-FORGET_TICKS = 10
+EXPIRY_TICKS = 10
 """Ticks between expirations of returning callers."""
 SETTINGS_CHECK_TICKS = 20
 """Ticks between checks for a changed settings file."""
 READY_AFTER_MS = 600.0
 """Time after the start at which a node counts as ready even without links."""
-EXCUSED_PAUSE_MS = 30.0
+DISCOUNTED_PAUSE_MS = 30.0
 """Tick delay above which it is subtracted from the response times of peers, whose
 answers may have been received but not yet read."""
-OWN_PAUSE_MS = 300.0
+STALL_LOG_MS = 300.0
 """Tick delay above which a stalled event loop is logged."""
 GC_THRESHOLD = 20_000
 """Allocations between garbage collections, which find little since requests leave no
@@ -86,8 +86,8 @@
     _stopped: asyncio.Event = attrs.field(factory=asyncio.Event)
     _broadcast_due: bool = False
     _ticks: int = 0
-    _ticked_ms: float = 0.0
-    _settings_seen: bytes = b""
+    _last_tick_ms: float = 0.0
+    _settings_content: bytes = b""
 
     def __attrs_post_init__(self) -> None:
         settings, runtime = self.settings, self.runtime
@@ -110,19 +110,24 @@
             settings.data_centre,
             self.inbound,
             self.hello,
-            self._on_news,
-            self._take_configuration,
+            self._on_peer_change,
+            self._apply_configuration,
+        )
+        self.configuration = Configuration(
+            self._on_configuration, random=runtime.random
         )
-        self.configuration = Configuration(self._on_version, random=runtime.random)
         self.configuration_watcher = ConfigurationWatcher(
             runtime,
-            self._client(),
+            self._make_store_client(),
             self.configuration,
             self.members,
             self.schedule_state_broadcast,
         )
         self.discovery = Discovery(
-            runtime, self._client(), self.members, epoch=time.time_ns() // 1_000_000
+            runtime,
+            self._make_store_client(),
+            self.members,
+            epoch=time.time_ns() // 1_000_000,
         )
         budget = RetryBudget(
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_ms
@@ -171,7 +176,7 @@
         loop.add_signal_handler(signal.SIGTERM, self.stop)
         loop.add_signal_handler(signal.SIGINT, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        small = [
+        http_endpoints = [
             (settings.ready_address, endpoints.readiness(self.is_ready)),
             (
                 settings.announce_address,
@@ -179,7 +184,7 @@
                     self.backend,
                     self.runtime,
                     self.configuration.allows_service,
-                    self._announced,
+                    self._on_announcement,
                 ),
             ),
             (
@@ -189,8 +194,8 @@
         ]
         states = [self.callers]
         await self._listen(settings.caller_address, self.callers)
-        for address, handler in small:
-            states.append(await self._listen_small(address, handler))
+        for address, handler in http_endpoints:
+            states.append(await self._listen_endpoint(address, handler))
         await self._listen_peers(settings.peer_listen_address or settings.peer_address)
         self.listening.set()
         events.log(
@@ -205,7 +210,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(GC_THRESHOLD)
-        self._ticked_ms = self.runtime.now_ms()
+        self._last_tick_ms = self.runtime.now_ms()
         while not self._stopped.is_set():
             self._tick(states)
             await asyncio.sleep(TICK_S)
@@ -296,9 +301,9 @@
         """Schedule one broadcast for all state changes in this loop iteration."""
         if not self._broadcast_due:
             self._broadcast_due = True
-            self.runtime.loop.call_soon(self._broadcast)
+            self.runtime.loop.call_soon(self._broadcast_state)
 
-    def _broadcast(self) -> None:
+    def _broadcast_state(self) -> None:
         self._broadcast_due = False
         self.incoming_links.broadcast_state()
 
@@ -315,24 +320,24 @@
     def _count_servers(self, service: str) -> int:
         return len(self.members.endpoints(service))
 
-    def _announced(self) -> None:
+    def _on_announcement(self) -> None:
         self.inbound.changed()
         self.prober.check()
 
-    def _on_news(self) -> None:
+    def _on_peer_change(self) -> None:
         self.configuration_watcher.wake()
 
-    def _take_configuration(self, version: int, content: bytes) -> None:
+    def _apply_configuration(self, version: int, content: bytes) -> None:
         self.configuration.apply_if_newer(content, SOURCE_PEER)
 
-    def _on_version(self, table: RoutingTable) -> None:
+    def _on_configuration(self, table: RoutingTable) -> None:
         self.callers.limits = table.limits
         self.schedule_state_broadcast()
         if self.configuration.store_version == table.version:
             self.incoming_links.push_configuration()
         self.prober.check()
 
-    def _client(self) -> StoreClient:
+    def _make_store_client(self) -> StoreClient:
         metrics = self.runtime.metrics
         return StoreClient(
             self.runtime.loop,
@@ -342,15 +347,15 @@
 
     def _close_callers(self) -> None:
         listener = self._servers[0]
-        self.runtime.spawn(close_listener(listener, self._caller_connection))
+        self.runtime.spawn(close_listener(listener, self._make_caller_connection))
 
-    def _caller_connection(self) -> ServerConnection:
+    def _make_caller_connection(self) -> ServerConnection:
         return ServerConnection(self.callers)
 
     async def _listen(self, address: Address, state: ServerState) -> None:
         await self._bind(address, lambda: ServerConnection(state))
 
-    async def _listen_small(self, address: Address, handler: Handler) -> ServerState:
+    async def _listen_endpoint(self, address: Address, handler: Handler) -> ServerState:
         state = ServerState(handler, self.runtime.fault_handler("endpoint"))
         await self._listen(address, state)
         return state
@@ -373,11 +378,11 @@
     def _tick(self, states: list[ServerState]) -> None:
         now_ms = self.runtime.now_ms()
         now_s = self.runtime.loop.time()
-        pause_ms = now_ms - self._ticked_ms - TICK_S * 1000
-        self._ticked_ms = now_ms
-        if pause_ms > OWN_PAUSE_MS:
+        pause_ms = now_ms - self._last_tick_ms - TICK_S * 1000
+        self._last_tick_ms = now_ms
+        if pause_ms > STALL_LOG_MS:
             events.log(events.LOOP_STALLED, pause_ms=round(pause_ms))
-        if pause_ms > EXCUSED_PAUSE_MS:
+        if pause_ms > DISCOUNTED_PAUSE_MS:
             self.runtime.run_guarded("tick", self.members.discount_pause, pause_ms)
         run_guarded = partial(self.runtime.run_guarded, "tick")
         run_guarded(self.members.tick, now_ms)
@@ -389,7 +394,7 @@
         self._ticks += 1
         if self._ticks % STATE_TICKS == 0:
             run_guarded(self.schedule_state_broadcast)
-        if self._ticks % FORGET_TICKS == 0:
+        if self._ticks % EXPIRY_TICKS == 0:
             run_guarded(self.calls.returning_callers.expire, now_ms)
         if self._ticks % 5 == 0:
             for state in states:
@@ -420,9 +425,9 @@
             content = self.path.read_bytes()
         except OSError:
             return
-        if self._settings_seen and content != self._settings_seen:
+        if self._settings_content and content != self._settings_content:
             self.reload()
-        self._settings_seen = content
+        self._settings_content = content
 
     def _refresh_gauges(self) -> None:
         gauges = self.runtime.metrics.gauges
