--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -451,7 +451,7 @@
     SettingsError
         If the settings can't be used.
     PortInUseError
-        If a listening address is taken.
+        If a listening address is already in use.
     """
     settings = read_settings(path)
     events.WRITER.open()
