--- a/azurestep/mesh/endpoints.py
+++ b/azurestep/mesh/endpoints.py
@@ -1,4 +1,4 @@
-"""Small HTTP endpoints of a node: readiness, announcements, metrics."""
+"""HTTP endpoints of a node: readiness, announcements and metrics."""
 
 from collections.abc import Callable
 
@@ -14,22 +14,22 @@
 
 
 def readiness(is_ready: Callable[[], bool]) -> Handler:
-    """Return the handler that says whether the node takes requests."""
+    """Return the handler that answers 200 if the node is ready, else 503."""
 
     def respond(exchange: Exchange, body: bytes) -> None:
         exchange.answer(200 if is_ready() else 503, JSON, b"{}")
 
-    return _collecting(respond)
+    return _collect_body(respond)
 
 
 def metrics(refresh: Callable[[], None], runtime: Runtime) -> Handler:
-    """Return the handler that shows the metrics."""
+    """Return the handler that serves the metrics as text."""
 
     def respond(exchange: Exchange, body: bytes) -> None:
         refresh()
         exchange.answer(200, TEXT, runtime.metrics.text().encode())
 
-    return _collecting(respond)
+    return _collect_body(respond)
 
 
 def announcements(
@@ -38,18 +38,18 @@
     is_service: Callable[[str], bool],
     on_change: Callable[[], None],
 ) -> Handler:
-    """Return the handler that takes the backend server's announcements.
+    """Return the handler for heartbeats and leaving notices of the backend server.
 
     Parameters
     ----------
     backend : Backend
-        What is known of the backend server.
+        State of the local backend server.
     runtime : Runtime
-        Clock.
+        Source of the time.
     is_service : Callable
         Whether the configuration in force names a service.
     on_change : Callable
-        Called after each announcement that was taken.
+        Called after each accepted announcement.
     """
 
     def respond(exchange: Exchange, body: bytes) -> None:
@@ -71,7 +71,7 @@
             _log_change(backend)
         on_change()
 
-    return _collecting(respond)
+    return _collect_body(respond)
 
 
 def _check_service(
@@ -79,15 +79,15 @@
     backend: Backend,
     is_service: Callable[[str], bool],
 ) -> None:
-    """Refuse a heartbeat that names a service which no route could lead to.
+    """Reject a heartbeat for a service that the configuration doesn't name.
 
-    What was taken before is heard all the same: its leaving must count, also after
-    the operators dropped its service.
+    A service that was accepted before stays accepted, so that a backend server can
+    still leave after its service was removed from the configuration.
     """
     if not isinstance(notice, Heartbeat):
         return
-    known = backend.announced_service(notice.instance_id)
-    if notice.service != known and not is_service(notice.service):
+    accepted_service = backend.announced_service(notice.instance_id)
+    if notice.service != accepted_service and not is_service(notice.service):
         raise MessageMalformedError(
             f"{notice.instance_id[:80]!r} announces the unknown service"
             f" {notice.service!r}",
@@ -107,22 +107,22 @@
     )
 
 
-def _collecting(respond: Callable[[Exchange, bytes], None]) -> Handler:
+def _collect_body(respond: Callable[[Exchange, bytes], None]) -> Handler:
     def handle(exchange: Exchange) -> None:
-        exchange.sink = CollectedRequest(exchange, respond)
+        exchange.sink = BodyCollector(exchange, respond)
 
     return handle
 
 
-class CollectedRequest:
-    """Collects a short request and answers it by a function.
+class BodyCollector:
+    """Collects the body of a short request and passes it to a function.
 
     Parameters
     ----------
     exchange : Exchange
         The request.
     respond : Callable
-        Called with the exchange and the whole body.
+        Called with the exchange and the complete body.
     """
 
     def __init__(
@@ -133,18 +133,18 @@
         self._parts: list[bytes] = []
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body."""
+        """Add a chunk of the body."""
         self._parts.append(data)
 
     def on_end(self) -> None:
-        """Answer."""
+        """Respond to the request."""
         self._respond(self._exchange, b"".join(self._parts))
 
     def on_disconnect(self) -> None:
-        """Forget the request."""
+        """Do nothing: there is nothing to clean up."""
 
     def on_writable(self) -> None:
-        """Ignore; the answer is short."""
+        """Do nothing: the answer is sent at once."""
 
     def on_fault(self) -> None:
-        """Leave the answer to the connection."""
+        """Do nothing: the connection sends the error."""
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -1,4 +1,4 @@
-"""One node, assembled: listeners, links, readers, and an orderly stop."""
+"""Assembly, main loop and reload of one node."""
 
 import asyncio
 import gc
@@ -38,25 +38,23 @@
 from .stopping import GracefulShutdown
 
 TICK_S = 0.1
-"""How often links, queues and connections are looked after."""
+"""Interval of the main loop."""
 STATE_TICKS = 2
-"""Ticks between looks whether the load here is news for the other nodes."""
-FORGET_TICKS = 10
-"""Ticks between looks which callers have given up."""
+"""Ticks between checks whether to report the load to peers."""
+EXPIRY_TICKS = 10
+"""Ticks between expirations of returning callers."""
 SETTINGS_CHECK_TICKS = 20
-"""Ticks between looks at the settings file, which may change without a signal."""
+"""Ticks between checks for a changed settings file."""
 READY_AFTER_MS = 600.0
-"""Time from the start after which a node without links counts as ready all the
-same: it serves what it can."""
-EXCUSED_PAUSE_MS = 30.0
-"""Delay of a tick from which on this node itself was busy: answers to its probes may
-have come and wait to be read. With a limit of 300 ms, nodes of 0.43 core doubted
-others in bursts, some 250 requests each, whenever a configuration came."""
-OWN_PAUSE_MS = 300.0
-"""Delay of a tick from which on a line says that this node stood still."""
+"""Time after the start at which a node counts as ready even without links."""
+DISCOUNTED_PAUSE_MS = 30.0
+"""Tick delay above which it is subtracted from the response times of peers, whose
+answers may have been received but not yet read."""
+STALL_LOG_MS = 300.0
+"""Tick delay above which a stalled event loop is logged."""
 GC_THRESHOLD = 20_000
-"""Allocations between collections. Requests break their references at their end,
-so that bodies are freed at once and collections find little."""
+"""Allocations between garbage collections, which find little since requests leave no
+reference cycles."""
 
 
 ProtocolFactory = Callable[[], asyncio.Protocol]
@@ -64,7 +62,7 @@
 
 @attrs.define(eq=False)
 class Node:
-    """All parts of one node."""
+    """A node with all its parts."""
 
     settings: MeshSettings
     path: pathlib.Path
@@ -88,8 +86,8 @@
     _stopped: asyncio.Event = attrs.field(factory=asyncio.Event)
     _broadcast_due: bool = False
     _ticks: int = 0
-    _ticked_ms: float = 0.0
-    _settings_seen: bytes = b""
+    _last_tick_ms: float = 0.0
+    _settings_content: bytes = b""
 
     def __attrs_post_init__(self) -> None:
         settings, runtime = self.settings, self.runtime
@@ -112,19 +110,24 @@
             settings.data_centre,
             self.inbound,
             self.hello,
-            self._on_news,
-            self._take_configuration,
+            self._on_peer_change,
+            self._apply_configuration,
+        )
+        self.configuration = Configuration(
+            self._on_configuration, random=runtime.random
         )
-        self.configuration = Configuration(self._on_version, random=runtime.random)
         self.configuration_watcher = ConfigurationWatcher(
             runtime,
-            self._client(),
+            self._make_store_client(),
             self.configuration,
             self.members,
             self.schedule_state_broadcast,
         )
         self.discovery = Discovery(
-            runtime, self._client(), self.members, epoch=time.time_ns() // 1_000_000
+            runtime,
+            self._make_store_client(),
+            self.members,
+            epoch=time.time_ns() // 1_000_000,
         )
         budget = RetryBudget(
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_ms
@@ -166,14 +169,14 @@
         )
 
     async def run(self) -> None:
-        """Serve until a signal asks for the end."""
+        """Serve until a signal requests the shutdown."""
         settings = self.settings
         loop = self.runtime.loop
         loop.set_exception_handler(self.runtime.on_loop_error)
         loop.add_signal_handler(signal.SIGTERM, self.stop)
         loop.add_signal_handler(signal.SIGINT, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        small = [
+        http_endpoints = [
             (settings.ready_address, endpoints.readiness(self.is_ready)),
             (
                 settings.announce_address,
@@ -181,7 +184,7 @@
                     self.backend,
                     self.runtime,
                     self.configuration.allows_service,
-                    self._announced,
+                    self._on_announcement,
                 ),
             ),
             (
@@ -191,8 +194,8 @@
         ]
         states = [self.callers]
         await self._listen(settings.caller_address, self.callers)
-        for address, handler in small:
-            states.append(await self._listen_small(address, handler))
+        for address, handler in http_endpoints:
+            states.append(await self._listen_endpoint(address, handler))
         await self._listen_peers(settings.peer_listen_address or settings.peer_address)
         self.listening.set()
         events.log(
@@ -207,7 +210,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(GC_THRESHOLD)
-        self._ticked_ms = self.runtime.now_ms()
+        self._last_tick_ms = self.runtime.now_ms()
         while not self._stopped.is_set():
             self._tick(states)
             await asyncio.sleep(TICK_S)
@@ -215,14 +218,14 @@
         events.WRITER.flush()
 
     def stop(self) -> None:
-        """Begin an orderly stop: finish what is under way, take nothing new."""
+        """Begin a graceful shutdown."""
         if not self.shutdown.begin(self.settings.bounds.grace_ms):
             return
         self.runtime.spawn(self.discovery.deregister())
         self.schedule_state_broadcast()
 
     def abort(self) -> None:
-        """Close all sockets at once, as a crash does."""
+        """Close all sockets immediately, as a crash does."""
         for server in self._servers:
             server.close()
         self.members.close()
@@ -233,7 +236,7 @@
         self.runtime.cancel_all()
 
     def reload(self) -> None:
-        """Read the settings file again."""
+        """Reload the settings file."""
         try:
             settings = read_settings(self.path)
         except SettingsError as error:
@@ -254,11 +257,11 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether an orderly stop has begun."""
+        """Whether a graceful shutdown has begun."""
         return self.shutdown.plan is not None
 
     def is_ready(self) -> bool:
-        """Whether callers should send requests here."""
+        """Whether the node is ready for requests of callers."""
         if self.is_stopping or not self.configuration.version:
             return False
         age_ms = self.runtime.now_ms() - self.started_ms
@@ -266,7 +269,7 @@
         return linked or age_ms > READY_AFTER_MS
 
     def hello(self) -> Hello:
-        """Return this node's greeting."""
+        """Return the first message that this node sends on a link."""
         return Hello(
             PROTOCOL_VERSION,
             self.settings.peer_address,
@@ -276,7 +279,7 @@
         )
 
     def state(self) -> State:
-        """Return what other nodes should know."""
+        """Return the state that is broadcast to peers."""
         backend = self.backend
         return State(
             backend.service,
@@ -295,12 +298,12 @@
         )
 
     def schedule_state_broadcast(self) -> None:
-        """Tell all nodes this one's state, once for all changes of a moment."""
+        """Schedule one broadcast for all state changes in this loop iteration."""
         if not self._broadcast_due:
             self._broadcast_due = True
-            self.runtime.loop.call_soon(self._broadcast)
+            self.runtime.loop.call_soon(self._broadcast_state)
 
-    def _broadcast(self) -> None:
+    def _broadcast_state(self) -> None:
         self._broadcast_due = False
         self.incoming_links.broadcast_state()
 
@@ -317,24 +320,24 @@
     def _count_servers(self, service: str) -> int:
         return len(self.members.endpoints(service))
 
-    def _announced(self) -> None:
+    def _on_announcement(self) -> None:
         self.inbound.changed()
         self.prober.check()
 
-    def _on_news(self) -> None:
+    def _on_peer_change(self) -> None:
         self.configuration_watcher.wake()
 
-    def _take_configuration(self, version: int, content: bytes) -> None:
+    def _apply_configuration(self, version: int, content: bytes) -> None:
         self.configuration.apply_if_newer(content, SOURCE_PEER)
 
-    def _on_version(self, table: RoutingTable) -> None:
+    def _on_configuration(self, table: RoutingTable) -> None:
         self.callers.limits = table.limits
         self.schedule_state_broadcast()
         if self.configuration.store_version == table.version:
             self.incoming_links.push_configuration()
         self.prober.check()
 
-    def _client(self) -> StoreClient:
+    def _make_store_client(self) -> StoreClient:
         metrics = self.runtime.metrics
         return StoreClient(
             self.runtime.loop,
@@ -344,15 +347,15 @@
 
     def _close_callers(self) -> None:
         listener = self._servers[0]
-        self.runtime.spawn(close_listener(listener, self._caller_connection))
+        self.runtime.spawn(close_listener(listener, self._make_caller_connection))
 
-    def _caller_connection(self) -> ServerConnection:
+    def _make_caller_connection(self) -> ServerConnection:
         return ServerConnection(self.callers)
 
     async def _listen(self, address: Address, state: ServerState) -> None:
         await self._bind(address, lambda: ServerConnection(state))
 
-    async def _listen_small(self, address: Address, handler: Handler) -> ServerState:
+    async def _listen_endpoint(self, address: Address, handler: Handler) -> ServerState:
         state = ServerState(handler, self.runtime.fault_handler("endpoint"))
         await self._listen(address, state)
         return state
@@ -368,18 +371,18 @@
         except OSError as error:
             raise PortInUseError(
                 f"{address[0]}:{address[1]} can't be bound: {error.strerror}",
-                "End the process that holds it, or change the settings",
+                "Stop the process that uses the address, or change the settings",
             ) from error
         self._servers.append(server)
 
     def _tick(self, states: list[ServerState]) -> None:
         now_ms = self.runtime.now_ms()
         now_s = self.runtime.loop.time()
-        pause_ms = now_ms - self._ticked_ms - TICK_S * 1000
-        self._ticked_ms = now_ms
-        if pause_ms > OWN_PAUSE_MS:
+        pause_ms = now_ms - self._last_tick_ms - TICK_S * 1000
+        self._last_tick_ms = now_ms
+        if pause_ms > STALL_LOG_MS:
             events.log(events.LOOP_STALLED, pause_ms=round(pause_ms))
-        if pause_ms > EXCUSED_PAUSE_MS:
+        if pause_ms > DISCOUNTED_PAUSE_MS:
             self.runtime.run_guarded("tick", self.members.discount_pause, pause_ms)
         run_guarded = partial(self.runtime.run_guarded, "tick")
         run_guarded(self.members.tick, now_ms)
@@ -391,7 +394,7 @@
         self._ticks += 1
         if self._ticks % STATE_TICKS == 0:
             run_guarded(self.schedule_state_broadcast)
-        if self._ticks % FORGET_TICKS == 0:
+        if self._ticks % EXPIRY_TICKS == 0:
             run_guarded(self.calls.returning_callers.expire, now_ms)
         if self._ticks % 5 == 0:
             for state in states:
@@ -422,9 +425,9 @@
             content = self.path.read_bytes()
         except OSError:
             return
-        if self._settings_seen and content != self._settings_seen:
+        if self._settings_content and content != self._settings_content:
             self.reload()
-        self._settings_seen = content
+        self._settings_content = content
 
     def _refresh_gauges(self) -> None:
         gauges = self.runtime.metrics.gauges
@@ -448,7 +451,7 @@
     SettingsError
         If the settings can't be used.
     PortInUseError
-        If a listening address is taken.
+        If a listening address is already in use.
     """
     settings = read_settings(path)
     events.WRITER.open()
--- a/azurestep/platform/document.py
+++ b/azurestep/platform/document.py
@@ -1,4 +1,4 @@
-"""The operators' document, decoded into typed fields."""
+"""Decoding of the operators' configuration document into typed fields."""
 
 import functools
 from typing import Annotated
@@ -10,26 +10,26 @@
 from ..routing.model import Document, Limits, Route, Service, WeightedService
 from .units import DURATION_PATTERN, parse_duration_ms
 
-IDEMPOTENT_KINDS = frozenset({"safe", "download"})
-"""Kinds whose requests may run more than once; what else there is runs once."""
+IDEMPOTENT_ROUTE_KINDS = frozenset({"safe", "download"})
+"""Kinds of routes whose requests may run more than once."""
 DEFAULT_TIMEOUT_MS = 30_000.0
 LOWEST_PRIORITY = 9
 DEFAULT_CONNECTION_LIMIT = 100
-LARGEST_WHOLE = 2**53
-"""Largest whole number that every JSON reader keeps exactly."""
-SERVICES_KEPT = 64
-"""Services whose parts are shared between routes."""
+MAX_INTEGER = 2**53
+"""Largest integer that all JSON parsers represent exactly."""
+SERVICE_CACHE_SIZE = 64
+"""Services for which routes without a split share one tuple."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1)]
-Place = Annotated[str, msgspec.Meta(pattern=r"^/(?:.*/)?\Z")]
+PathPrefix = Annotated[str, msgspec.Meta(pattern=r"^/(?:.*/)?\Z")]
 Duration = Annotated[str, msgspec.Meta(pattern=DURATION_PATTERN)]
-Whole = Annotated[int, msgspec.Meta(ge=0, le=LARGEST_WHOLE)]
-Counted = Annotated[int, msgspec.Meta(ge=1, le=LARGEST_WHOLE)]
+NonNegativeInteger = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
+PositiveInteger = Annotated[int, msgspec.Meta(ge=1, le=MAX_INTEGER)]
 Weight = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
 
 
 @attrs.frozen(slots=True)
-class _Part:
+class _WeightedService:
     service: Name
     weight: Weight
 
@@ -37,33 +37,33 @@
 @attrs.frozen(slots=True)
 class _Route:
     host: Name
-    path_prefix: Place
+    path_prefix: PathPrefix
     route_kind: Name
     service: Name | None = None
-    traffic_split: list[_Part] | None = None
+    traffic_split: list[_WeightedService] | None = None
     timeout: Duration | None = None
     aim: Duration | None = None
-    priority: Whole = LOWEST_PRIORITY
-    max_attempts: Counted = 1
+    priority: NonNegativeInteger = LOWEST_PRIORITY
+    max_attempts: PositiveInteger = 1
 
 
 @attrs.frozen(slots=True)
 class _Service:
     health_check_path: Name = "/health"
-    connection_limit: Counted = DEFAULT_CONNECTION_LIMIT
+    connection_limit: PositiveInteger = DEFAULT_CONNECTION_LIMIT
 
 
 @attrs.frozen(slots=True)
 class _Limits:
-    max_header_bytes: Whole
-    max_body_bytes: Whole
+    max_header_bytes: NonNegativeInteger
+    max_body_bytes: NonNegativeInteger
     header_timeout: Duration
     idle_timeout: Duration
 
 
 @attrs.frozen(slots=True)
 class _Document:
-    version: Counted
+    version: PositiveInteger
     routes: dict[str, _Route]
     services: dict[str, _Service]
     limits: _Limits
@@ -73,29 +73,29 @@
 
 
 def read_document(content: bytes) -> Document:
-    """Return what a document says.
+    """Parse a configuration document.
 
     Raises
     ------
     ConfigurationError
-        If the document has another shape than the one that is agreed, or a route
-        leads to a service that it doesn't name.
+        If the document doesn't match the format, or a route refers to a service that
+        the document doesn't define.
     """
     try:
         fields = _DOCUMENT.decode(content)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise _refusal(str(error)) from error
+        raise _configuration_error(str(error)) from error
     services = {name: _service(name, one) for name, one in fields.services.items()}
     routes = [_route(name, one) for name, one in fields.routes.items()]
     for route in routes:
-        _check_parts(route, services)
+        _check_services(route, services)
     return Document(fields.version, services, _limits(fields.limits), routes)
 
 
-def _refusal(cause: str) -> ConfigurationError:
+def _configuration_error(cause: str) -> ConfigurationError:
     return ConfigurationError(
         f"the configuration can't be read: {cause}",
-        "The version in force stays; publish one of the agreed shape",
+        "Publish a valid document; the version in force stays",
     )
 
 
@@ -114,38 +114,40 @@
         name=name,
         host=fields.host.lower().encode(),
         prefix=fields.path_prefix.encode(),
-        idempotent=fields.route_kind in IDEMPOTENT_KINDS,
+        idempotent=fields.route_kind in IDEMPOTENT_ROUTE_KINDS,
         timeout_ms=timeout_ms,
         objective_ms=objective_ms,
         priority=fields.priority,
         max_attempts=fields.max_attempts,
-        parts=_parts(name, fields),
+        weighted_services=_weighted_services(name, fields),
     )
 
 
-def _parts(name: str, fields: _Route) -> tuple[WeightedService, ...]:
+def _weighted_services(name: str, fields: _Route) -> tuple[WeightedService, ...]:
     if fields.traffic_split:
         return tuple(
             WeightedService(part.service, part.weight) for part in fields.traffic_split
         )
     if fields.service is None:
-        raise _refusal(f"route {name!r} has neither a service nor a split")
-    return _only_part(fields.service)
+        raise _configuration_error(f"route {name!r} has neither a service nor a split")
+    return _single_service(fields.service)
 
 
-def _check_parts(route: Route, services: dict[str, Service]) -> None:
-    if not any(part.weight > 0 for part in route.parts):
-        raise _refusal(f"no part of route {route.name!r} has a weight")
-    for part in route.parts:
+def _check_services(route: Route, services: dict[str, Service]) -> None:
+    if not any(part.weight > 0 for part in route.weighted_services):
+        raise _configuration_error(
+            f"route {route.name!r} has no service with a positive weight"
+        )
+    for part in route.weighted_services:
         if part.service not in services:
-            raise _refusal(
-                f"route {route.name!r} leads to the unknown service {part.service!r}"
+            raise _configuration_error(
+                f"route {route.name!r} refers to the unknown service {part.service!r}"
             )
 
 
-@functools.lru_cache(maxsize=SERVICES_KEPT)
-def _only_part(service: str) -> tuple[WeightedService, ...]:
-    """Return the parts of a route without a split, shared by all such routes."""
+@functools.lru_cache(maxsize=SERVICE_CACHE_SIZE)
+def _single_service(service: str) -> tuple[WeightedService, ...]:
+    """Return the only service of a route, cached as many routes share it."""
     return (WeightedService(service, 1.0),)
 
 
--- a/azurestep/platform/headers.py
+++ b/azurestep/platform/headers.py
@@ -1,6 +1,6 @@
-"""Headers of requests and answers, as the platform spells them.
+"""Headers that the platform prescribes for requests and answers.
 
-The names are translated here once; the rest of the program reads typed fields.
+The rest of the program uses typed fields instead of header names.
 """
 
 import attrs
@@ -16,8 +16,8 @@
 INSTANCE = b"instance-id"
 SERVER_LOAD = b"server-load"
 
-SET_BY_US = frozenset({DEADLINE, EXPECTED_INSTANCE, CALLING_SERVICE})
-ONE_CONNECTION = frozenset(
+SET_BY_NODE = frozenset({DEADLINE, EXPECTED_INSTANCE, CALLING_SERVICE})
+HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -31,22 +31,22 @@
         b"accept-encoding",
     }
 )
-LONGEST_BUDGET_MS = 600_000.0
+MAX_REMAINING_MS = 600_000.0
 
 
 @attrs.frozen(slots=True)
 class CallerFields:
-    """What a caller's headers say.
+    """Values of a caller's headers.
 
     Attributes
     ----------
     request_id : bytes
-        Identity of this attempt of the caller; empty if missing.
+        Id of this attempt of the caller; empty if missing.
     remaining_ms : float or None
-        How long the caller will wait, from the arrival of the request.
+        How long the caller waits, counted from the arrival of the request.
     forwarded : Headers
-        Headers for the backend server, without those of one connection and
-        without those that azurestep sets itself.
+        Headers for the backend server, without hop-by-hop headers and those that
+        azurestep sets itself.
     """
 
     host: bytes
@@ -57,26 +57,26 @@
 
 @attrs.frozen(slots=True)
 class AnswerFields:
-    """What a backend server's headers say.
+    """Values of a backend server's headers.
 
     Attributes
     ----------
     request_id : bytes
-        Identity of the request that is answered; empty if missing.
+        Id of the answered request; empty if missing.
     signed : bool
-        Whether the backend server signed the answer as its own.
+        Whether the answer carries a signature.
     not_run : bool
-        Whether the backend server says that it did not run the request.
+        Whether the backend server reports that it did not run the request.
     instance_id : bytes
-        Incarnation of the backend server, where it tells it.
+        Id of the backend server; empty if missing.
     closing : bool
         Whether the backend server will close the connection.
     keep_alive_ms : float or None
-        How long it keeps an idle connection open.
+        How long it keeps an idle connection open; None if unknown.
     encoded : bool
-        Whether the body is not the one that was asked for.
+        Whether the body has a content encoding, which was not requested.
     slots : int or None
-        How many requests the backend server runs at once, where it tells it.
+        Number of requests that the backend server runs at once; None if unknown.
     forwarded : Headers
         Headers for the caller.
     """
@@ -93,7 +93,7 @@
 
 
 def parse_remaining_ms(value: bytes) -> float | None:
-    """Return a deadline header's milliseconds; None if it is no such number.
+    """Return a deadline header's milliseconds; None if it is not a number.
 
     Examples
     --------
@@ -105,10 +105,10 @@
     text = value.strip()
     if not text.isdigit():
         return None
-    return min(float(text), LONGEST_BUDGET_MS)
+    return min(float(text), MAX_REMAINING_MS)
 
 
-def _named_by_connection(headers: Headers) -> set[bytes]:
+def _connection_options(headers: Headers) -> set[bytes]:
     names: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -118,7 +118,7 @@
 
 def read_caller(headers: Headers) -> CallerFields:
     """Read a caller's headers."""
-    dropped = _named_by_connection(headers)
+    dropped = _connection_options(headers)
     host = request_id = b""
     remaining_ms = None
     forwarded = []
@@ -131,7 +131,7 @@
             continue
         elif lower == b"host":
             host = value
-        elif lower in ONE_CONNECTION or lower in SET_BY_US or lower in dropped:
+        elif lower in HOP_BY_HOP or lower in SET_BY_NODE or lower in dropped:
             continue
         forwarded.append((name, value))
     return CallerFields(host.lower(), request_id, remaining_ms, forwarded)
@@ -147,25 +147,25 @@
 
 def read_answer(headers: Headers) -> AnswerFields:
     """Read a backend server's headers."""
-    known = {name.lower(): value for name, value in headers}
-    by_connection = _named_by_connection(headers)
-    unforwarded = ONE_CONNECTION | by_connection | {SERVER_LOAD}
-    keep_alive = known.get(b"keep-alive")
+    values = {name.lower(): value for name, value in headers}
+    connection_options = _connection_options(headers)
+    dropped = HOP_BY_HOP | connection_options | {SERVER_LOAD}
+    keep_alive = values.get(b"keep-alive")
     return AnswerFields(
-        request_id=known.get(REQUEST_ID, b""),
-        signed=SIGNATURE in known,
-        not_run=NOT_RUN in known,
-        instance_id=known.get(INSTANCE, b""),
-        closing=b"close" in by_connection,
+        request_id=values.get(REQUEST_ID, b""),
+        signed=SIGNATURE in values,
+        not_run=NOT_RUN in values,
+        instance_id=values.get(INSTANCE, b""),
+        closing=b"close" in connection_options,
         keep_alive_ms=None if keep_alive is None else _keep_alive_ms(keep_alive),
-        encoded=b"content-encoding" in known,
-        slots=_slots(known.get(SERVER_LOAD, b"")),
-        forwarded=[field for field in headers if field[0].lower() not in unforwarded],
+        encoded=b"content-encoding" in values,
+        slots=_slots(values.get(SERVER_LOAD, b"")),
+        forwarded=[field for field in headers if field[0].lower() not in dropped],
     )
 
 
 def _slots(load: bytes) -> int | None:
-    """Return the slots of a load header: requests running, waiting, slots.
+    """Return the slots in a load header (``running,waiting,slots``).
 
     Examples
     --------
