--- a/azurestep/mesh/backend/answer_parts.py
+++ b/azurestep/mesh/backend/answer_parts.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class AnswerParts:
+class PartialAnswer:
     """Head and body of one answer, as they come in.
 
     Attributes
@@ -29,10 +29,10 @@
     size_bytes: int = 0
     _body: list[bytes] = attrs.field(factory=list)
 
-    def take_head(self, status: int, headers: Headers, request_id: bytes) -> bool:
+    def apply_head(self, status: int, headers: Headers, request_id: bytes) -> bool:
         """Take the head; False if it names another request."""
         fields = read_answer(headers)
-        if not _belongs(fields, status, request_id):
+        if not _is_answer_to(fields, status, request_id):
             events.log(
                 events.UNMATCHED_ANSWER,
                 id=request_id,
@@ -52,19 +52,19 @@
         self._body.append(data)
         self.size_bytes += len(data)
 
-    def take_body(self) -> bytes:
+    def pop_body(self) -> bytes:
         """Return what was kept of the body, and keep it no longer."""
         body, self._body = b"".join(self._body), []
         return body
 
     @property
-    def is_good(self) -> bool:
+    def is_authentic(self) -> bool:
         """Whether the backend server signed it, as the bytes that it made."""
         fields = self.fields
         return fields is not None and fields.signed and not fields.encoded
 
 
-def _belongs(fields: AnswerFields, status: int, request_id: bytes) -> bool:
+def _is_answer_to(fields: AnswerFields, status: int, request_id: bytes) -> bool:
     """Whether an answer is the request's own; a refusal may leave the id out."""
     if fields.request_id == request_id:
         return True
--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -28,14 +28,14 @@
 CONNECT_TIMEOUT_S = 1.0
 """A backend server on the same instance accepts within about 1 ms; this is the
 time after which a silent one counts as unreachable."""
-IDLE_MS = 8000.0
+MAX_IDLE_MS = 8000.0
 """Idle time after which a connection is closed here; backend servers close theirs
 after about 10 s and say so where the time is another."""
-FORGOTTEN_MS = 30.0
+IDLE_CLOSE_WINDOW_MS = 30.0
 """Time from a request on an idle connection within which its end means that the
 backend server had forgotten the connection; the round trip takes about 1 ms and
 the shortest runs that were measured take 30 ms."""
-DOWN_RETRY_MS = 300.0
+RECONNECT_INTERVAL_MS = 300.0
 """Time between attempts to reach a backend server that refuses connections."""
 
 
@@ -55,7 +55,7 @@
     on_change: Callable[[], None]
     crashes: CrashTracker
     admission: Admission = attrs.field(factory=Admission)
-    idle: IdlePool = attrs.field(factory=lambda: IdlePool(IDLE_MS))
+    idle: IdlePool = attrs.field(factory=lambda: IdlePool(MAX_IDLE_MS))
     transfers: BodyTransfers = attrs.field(factory=BodyTransfers)
     load: LoadSummary = attrs.field(factory=LoadSummary)
     health: Health = attrs.field(factory=Health)
@@ -63,9 +63,9 @@
     unreachable: bool = False
     stopping: bool = False
     _runs: dict[Ticket, Run] = attrs.field(factory=dict)
-    _next_try_ms: float = 0.0
-    _judged: Incarnation = NO_INCARNATION
-    _look_due: bool = False
+    _next_reconnect_ms: float = 0.0
+    _last_incarnation: Incarnation = NO_INCARNATION
+    _scan_scheduled: bool = False
 
     def now_ms(self) -> float:
         """Return the monotonic time."""
@@ -90,7 +90,7 @@
         """Serve what can end by then; other nodes are told to choose others."""
         self.stopping = True
         self.admission.drain_deadline_ms = drain_deadline_ms
-        self._look_soon()
+        self._schedule_scan()
 
     def submit(self, request: Request, receiver: AnswerReceiver) -> Run:
         """Take a request; the receiver hears of its outcome.
@@ -109,26 +109,26 @@
 
     def _admit(self, run: Run) -> None:
         request = run.request
-        reason = self._obstacle(request)
+        reason = self._find_refusal_reason(request)
         if reason is not None:
             run.refuse(reason)
             return
         self.admission.slots = self.backend.slots
         if request.mean_run_ms:
-            self.admission.expect(request.route, request.mean_run_ms)
+            self.admission.set_fleet_mean(request.route, request.mean_run_ms)
         self.caller_detector.record_request(
             request.route, request.priority, request.calling_service
         )
-        decision = self.admission.offer(run.ticket, self.now_ms())
+        decision = self.admission.admit(run.ticket, self.now_ms())
         if isinstance(decision, Refused):
             run.refuse(Reason.STOPPING if self.stopping else Reason.OVERLOADED)
         elif decision:
             run.start()
 
-    def _obstacle(self, request: Request) -> Reason | None:
-        obstacle = self.backend.obstacle(request, self.now_ms())
-        if obstacle is not None:
-            return obstacle
+    def _find_refusal_reason(self, request: Request) -> Reason | None:
+        reason = self.backend.refusal_reason(request, self.now_ms())
+        if reason is not None:
+            return reason
         if self.unreachable:
             return Reason.UNREACHABLE
         if request.remaining_ms <= 0:
@@ -142,37 +142,37 @@
         that no run belonged to any more; the fault reset the link of the caller who had
         left, and with it every other run of that link.
         """
-        self.admission.leave(ticket)
+        self.admission.remove(ticket)
         self._runs.pop(ticket, None)
         if self._runs:
-            self._look_soon()
+            self._schedule_scan()
 
-    def fetched(self, transfer: BodyTransfer) -> None:
+    def end_transfer(self, transfer: BodyTransfer) -> None:
         """Pass the turn to fetch a body on."""
         self.transfers.end(transfer)
-        self._look_soon()
+        self._schedule_scan()
 
-    def _look_soon(self) -> None:
+    def _schedule_scan(self) -> None:
         """Have the queue looked at from the event loop.
 
         Looked at from within the end of a request, a queue of a few hundred that a
         leaving server refused exceeded the depth of recursion, and the end of each
         request of a lost link started the next one only to cancel it.
         """
-        if not self._look_due:
-            self._look_due = True
-            self.runtime.call_soon(self._look)
+        if not self._scan_scheduled:
+            self._scan_scheduled = True
+            self.runtime.call_soon(self._scan_queue)
 
-    def _look(self) -> None:
+    def _scan_queue(self) -> None:
         """Refuse what can't be answered in time any more, give free slots and turns.
 
         Looked at every 0.1 s only, requests with run times below that reached their
         callers' deadline in the queue: 1,650 of 83,000 attempts of a day of high load
         were answered 504 though they had not run.
         """
-        self._look_due = False
+        self._scan_scheduled = False
         now_ms = self.now_ms()
-        self._refuse(self.admission.late(now_ms), self.late_reason)
+        self._refuse(self.admission.find_late(now_ms), self.late_reason)
         if not self.backend.admits(now_ms):
             self._refuse(self.admission.waiting, Reason.LEAVING)
         for waiting in self.transfers.waiting:
@@ -181,7 +181,7 @@
             run = self._runs[ticket]
             run_guarded(run, run.start)
         while (transfer := self.transfers.start_next()) is not None:
-            run_guarded(transfer, transfer.ask_for_body)
+            run_guarded(transfer, transfer.request_body)
 
     def _refuse(self, tickets: list[Ticket], reason: Reason) -> None:
         """Refuse waiting requests; each waits until its turn to be refused comes.
@@ -213,12 +213,12 @@
         self._set_unreachable(False, "")
         return connection
 
-    def keep(self, connection: ClientConnection) -> None:
+    def return_connection(self, connection: ClientConnection) -> None:
         """Keep an idle connection."""
         if connection.usable:
             self.idle.put(connection, self.runtime.loop.time())
 
-    def other_instance(self, request: Request, instance_id: str) -> None:
+    def handle_replaced_instance(self, request: Request, instance_id: str) -> None:
         """Learn that another incarnation answered."""
         events.log(
             events.BACKEND_REPLACED,
@@ -230,14 +230,14 @@
         self.backend.confirm_instance(instance_id, self.now_ms())
         self.on_change()
 
-    def ran(self, failed: bool) -> None:
+    def record_run(self, failed: bool) -> None:
         """Count a run that ended, and tell all nodes at once of a failing server."""
         before = self.health.failure_ratio
         self.health.record(failed)
         if failed and self.health.failure_ratio > before:
             self.on_change()
 
-    def broke_off(
+    def record_connection_loss(
         self, request: Request, connection: ClientConnection, sent_ms: float
     ) -> None:
         """Learn that a connection ended under a request, before any answer.
@@ -245,11 +245,11 @@
         A backend server that dies ends all its connections; the last one of them
         has it looked at whether it still listens. If it does, no request is blamed.
         """
-        self._next_try_ms = 0.0
+        self._next_reconnect_ms = 0.0
         self.crashes.record_lost(request, self.now_ms())
         if len(self._runs) == 1:
-            self.runtime.spawn(self._try_again())
-        if connection.used > 1 and self.now_ms() - sent_ms < FORGOTTEN_MS:
+            self.runtime.spawn(self._reconnect())
+        if connection.used > 1 and self.now_ms() - sent_ms < IDLE_CLOSE_WINDOW_MS:
             self._reduce_reuse_limit(connection.idle_ms)
 
     def _reduce_reuse_limit(self, idle_ms: float) -> None:
@@ -271,26 +271,30 @@
         now_ms = self.now_ms()
         self._tick_health()
         self.load = tick_load(self.load, self.admission, self.backend)
-        self._look_soon()
+        self._schedule_scan()
         for run in list(self._runs.values()):
-            run_guarded(run, run.check_age, now_ms)
+            run_guarded(run, run.enforce_timeouts, now_ms)
         self.idle.sweep(self.runtime.loop.time())
-        if self.unreachable and now_ms > self._next_try_ms and self.backend.is_open():
-            self._next_try_ms = now_ms + DOWN_RETRY_MS
-            self.runtime.spawn(self._try_again())
-
-    async def _try_again(self) -> None:
+        if (
+            self.unreachable
+            and now_ms > self._next_reconnect_ms
+            and self.backend.is_open()
+        ):
+            self._next_reconnect_ms = now_ms + RECONNECT_INTERVAL_MS
+            self.runtime.spawn(self._reconnect())
+
+    async def _reconnect(self) -> None:
         connection = await self.connect()
         if connection is not None:
-            self.keep(connection)
+            self.return_connection(connection)
 
     def _tick_health(self) -> None:
         incarnation = self.backend.incarnation
-        if not incarnation.matches(self._judged):
+        if not incarnation.matches(self._last_incarnation):
             self.health.clear()
             self.idle.reset_reuse_limit()
             self.admission.forget()
-        self._judged = incarnation
+        self._last_incarnation = incarnation
         self.health.tick()
 
     def _set_unreachable(self, unreachable: bool, cause: str) -> None:
--- a/azurestep/mesh/backend/interfaces.py
+++ b/azurestep/mesh/backend/interfaces.py
@@ -56,22 +56,22 @@
     async def connect(self) -> ClientConnection | None:
         """Open a connection to the backend server; None if it takes none."""
 
-    def keep(self, connection: ClientConnection) -> None:
+    def return_connection(self, connection: ClientConnection) -> None:
         """Keep an idle connection."""
 
     def release(self, ticket: Ticket) -> None:
         """Take a run off the books; nobody is called from within."""
 
-    def fetched(self, transfer: BodyTransfer) -> None:
+    def end_transfer(self, transfer: BodyTransfer) -> None:
         """Pass the turn to fetch a body on; nobody is called from within."""
 
-    def ran(self, failed: bool) -> None:
+    def record_run(self, failed: bool) -> None:
         """Count a run that ended."""
 
-    def broke_off(
+    def record_connection_loss(
         self, request: Request, connection: ClientConnection, sent_ms: float
     ) -> None:
         """Learn that a connection ended under a request, before any answer."""
 
-    def other_instance(self, request: Request, instance_id: str) -> None:
+    def handle_replaced_instance(self, request: Request, instance_id: str) -> None:
         """Learn that another incarnation answered."""
--- a/azurestep/mesh/backend/load.py
+++ b/azurestep/mesh/backend/load.py
@@ -6,7 +6,7 @@
 from ..decisions.admission import Admission
 from .state import Backend
 
-TICKS = 10
+TICKS_PER_LINE = 10
 """Ticks of 0.1 s that one line sums up."""
 
 
@@ -17,7 +17,7 @@
     Examples
     --------
     >>> summary = LoadSummary()
-    >>> [summary.tick(running=3, waiting=1) for _ in range(TICKS)][-1]
+    >>> [summary.tick(running=3, waiting=1) for _ in range(TICKS_PER_LINE)][-1]
     True
     >>> summary.running, summary.waiting
     (3.0, 1.0)
@@ -45,7 +45,7 @@
         self._ticks += 1
         self._running += running
         self._waiting += waiting
-        return self._ticks >= TICKS
+        return self._ticks >= TICKS_PER_LINE
 
     def log(self, instance_id: str, service: str, slots: int) -> None:
         """Log the line."""
--- a/azurestep/mesh/backend/probing.py
+++ b/azurestep/mesh/backend/probing.py
@@ -18,19 +18,19 @@
 from .inbound import Inbound
 
 PROBE_TIMEOUT_S = 1.0
-SEARCH_MS = 3000.0
+SEARCH_TIMEOUT_MS = 3000.0
 """Time from the start in which a restarted node looks for the backend server beside
 it: two heartbeats, after which its silence means that it is gone."""
-SLOTS_ASSUMED = 4
+DEFAULT_SLOTS = 4
 """Slots of a backend server that a probe found and that tells no load, until its
 heartbeat says how many; the least that was seen on a deployment is 6."""
-PROBE_GAP_MS = 300.0
+MIN_PROBE_INTERVAL_MS = 300.0
 """Least time between two probes."""
 OK = 200
 
 
 @attrs.frozen(slots=True)
-class Found:
+class ProbeResult:
     """The healthy incarnation that answered a probe.
 
     Attributes
@@ -43,20 +43,22 @@
     slots: int | None
 
 
-class ProbeSink:
+class ProbeAnswerSink:
     """Collects the answer to a probe."""
 
-    def __init__(self, future: "asyncio.Future[Found | None]") -> None:
+    def __init__(self, future: "asyncio.Future[ProbeResult | None]") -> None:
         self._future = future
         self._status = 0
-        self._found: Found | None = None
+        self._result: ProbeResult | None = None
 
     def on_head(self, status: int, headers: Headers) -> bool:
         """Keep status and incarnation."""
         self._status = status
         fields = read_answer(headers)
         if fields.instance_id:
-            self._found = Found(fields.instance_id.decode("latin-1"), fields.slots)
+            self._result = ProbeResult(
+                fields.instance_id.decode("latin-1"), fields.slots
+            )
         return True
 
     def on_data(self, data: bytes) -> None:
@@ -66,7 +68,7 @@
         """Hand the incarnation over if it is healthy."""
         healthy = self._status == OK
         if not self._future.done():
-            self._future.set_result(self._found if healthy else None)
+            self._future.set_result(self._result if healthy else None)
 
     def on_failed(self, reason: str) -> None:
         """Hand over that nobody is known to run there."""
@@ -106,7 +108,7 @@
         """Probe if it is not clear which incarnation runs."""
         if self._probing or not self._is_due() or self.table() is None:
             return
-        if self.runtime.now_ms() - self._last_ms < PROBE_GAP_MS:
+        if self.runtime.now_ms() - self._last_ms < MIN_PROBE_INTERVAL_MS:
             return
         self._probing = True
         self._last_ms = self.runtime.now_ms()
@@ -116,15 +118,15 @@
         backend = self.inbound.backend
         if backend.conflicting_id:
             return True
-        return self.restarted and not backend.instance_id and self._searches()
+        return self.restarted and not backend.instance_id and self._is_searching()
 
-    def _searches(self) -> bool:
-        return self.runtime.now_ms() - self._started_ms < SEARCH_MS
+    def _is_searching(self) -> bool:
+        return self.runtime.now_ms() - self._started_ms < SEARCH_TIMEOUT_MS
 
     async def _probe(self) -> None:
         backend = self.inbound.backend
         try:
-            found = await self._ask()
+            found = await self._send_probe()
         finally:
             self._probing = False
         events.log(
@@ -134,18 +136,18 @@
             doubted=backend.conflicting_id,
         )
         if found is not None:
-            self._take(found)
+            self._apply_result(found)
 
-    def _take(self, found: Found) -> None:
+    def _apply_result(self, found: ProbeResult) -> None:
         backend = self.inbound.backend
-        slots = found.slots or SLOTS_ASSUMED
+        slots = found.slots or DEFAULT_SLOTS
         if backend.discover(found.instance_id, self.service, slots):
             self.inbound.changed()
             return
         backend.confirm_instance(found.instance_id, self.runtime.now_ms())
         self.inbound.on_change()
 
-    async def _ask(self) -> Found | None:
+    async def _send_probe(self) -> ProbeResult | None:
         table = self.table()
         service = self.inbound.backend.service or self.service
         if table is None or service not in table.services:
@@ -153,16 +155,16 @@
         connection = await self.inbound.connect()
         if connection is None:
             return None
-        future: asyncio.Future[Found | None] = self.runtime.loop.create_future()
+        future: asyncio.Future[ProbeResult | None] = self.runtime.loop.create_future()
         host, port = self.inbound.address
         path = table.services[service].health_path.decode("latin-1")
         head = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
-        connection.send(head.encode("latin-1"), ProbeSink(future), True)
+        connection.send(head.encode("latin-1"), ProbeAnswerSink(future), True)
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 found = await future
         except TimeoutError:
             connection.abort()
             return None
-        self.inbound.keep(connection)
+        self.inbound.return_connection(connection)
         return found
--- a/azurestep/mesh/backend/request_bytes.py
+++ b/azurestep/mesh/backend/request_bytes.py
@@ -3,10 +3,10 @@
 from ...platform.headers import to_backend
 from ..messages import Request
 
-WITHOUT_BODY = (b"GET", b"HEAD")
+BODILESS_METHODS = (b"GET", b"HEAD")
 
 
-def first_bytes(
+def encode_request(
     request: Request, content: bytes, whole: bool, remaining_ms: float
 ) -> bytes:
     """Return the head and what is there of the body.
@@ -25,19 +25,19 @@
         request.headers, remaining_ms, request.instance_id, request.calling_service
     )
     if whole:
-        if content or request.length > 0 or request.method not in WITHOUT_BODY:
+        if content or request.length > 0 or request.method not in BODILESS_METHODS:
             lines.append(b"Content-Length: %d\r\n" % len(content))
     elif request.length >= 0:
         lines.append(b"Content-Length: %d\r\n" % request.length)
     else:
         lines.append(b"Transfer-Encoding: chunked\r\n")
-        content = framed(request, content, False)
+        content = encode_body_part(request, content, False)
     lines.append(b"\r\n")
     lines.append(content)
     return b"".join(lines)
 
 
-def framed(request: Request, data: bytes, whole: bool) -> bytes:
+def encode_body_part(request: Request, data: bytes, whole: bool) -> bytes:
     """Return more of the body, in chunks if its length is not known."""
     if request.length >= 0:
         return data
--- a/azurestep/mesh/backend/state.py
+++ b/azurestep/mesh/backend/state.py
@@ -10,15 +10,15 @@
 from ..incarnation import NO_INCARNATION, START_UNKNOWN, Incarnation
 from ..messages import Reason, Request
 
-DRAIN_SHARE = 0.5
+DRAIN_ADMIT_RATIO = 0.5
 """Share of the drain bound in which requests on their way still get in."""
-UNKNOWN_SINCE_MS = float("-inf")
+LEAVING_SINCE_UNKNOWN_MS = float("-inf")
 """Begin of the leaving of an incarnation that this process never saw serving: the
 process before it may have acknowledged the leaving long ago."""
 
 
 @attrs.define(slots=True)
-class History:
+class IncarnationRecord:
     """What is known of the newest incarnation under one id.
 
     Attributes
@@ -38,7 +38,7 @@
     leaving_since_ms: float | None = None
     ended: bool = False
 
-    def is_followed_by(self, started_ms: int | None) -> bool:
+    def is_superseded_by(self, started_ms: int | None) -> bool:
         """Whether an incarnation with that start is a later one.
 
         One that ended before it told its start may have been an earlier one too.
@@ -49,7 +49,7 @@
             return self.ended
         return started_ms > self.started_ms
 
-    def is_after(self, started_ms: int | None) -> bool:
+    def is_newer_than(self, started_ms: int | None) -> bool:
         """Whether an incarnation with that start is an earlier one."""
         return (
             started_ms is not None
@@ -81,51 +81,51 @@
     slots: int = 1
     conflicting_id: str = ""
     _cold_until_ms: float = 0.0
-    _histories: dict[str, History] = attrs.field(factory=dict)
+    _records: dict[str, IncarnationRecord] = attrs.field(factory=dict)
 
     @property
     def incarnation(self) -> Incarnation:
         """The one that gets the requests."""
         if not self.instance_id:
             return NO_INCARNATION
-        history = self._histories.get(self.instance_id)
-        started_ms = history.started_ms if history is not None else None
+        record = self._records.get(self.instance_id)
+        started_ms = record.started_ms if record is not None else None
         name = self.instance_id.encode("latin-1", "replace")
         return Incarnation(name, started_ms or START_UNKNOWN)
 
     def apply_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> None:
         """Take a heartbeat in; a late or overtaken one changes nothing."""
         name = heartbeat.instance_id
-        history = self._history(name, heartbeat.started_ms)
-        if history is None:
+        record = self._find_record(name, heartbeat.started_ms)
+        if record is None:
             return
         if heartbeat.leaving:
-            self._begin_leaving(name, history, now_ms)
-        newest = history.heartbeat
+            self._record_leaving(name, record, now_ms)
+        newest = record.heartbeat
         if newest is not None and heartbeat.sequence <= newest.sequence:
             return
-        if history.ended:
+        if record.ended:
             return
-        history.heartbeat = heartbeat
+        record.heartbeat = heartbeat
         if name == self.instance_id:
             self._adopt(heartbeat, now_ms)
         elif not self.instance_id:
-            self._replace(heartbeat, now_ms)
+            self._switch_to(heartbeat, now_ms)
         elif not heartbeat.leaving:
             self.conflicting_id = name
 
     def apply_leaving(self, notice: LeavingNotice, now_ms: float) -> None:
         """Take a leaving notice in."""
-        history = self._history(notice.instance_id, notice.started_ms)
-        if history is not None:
-            self._begin_leaving(notice.instance_id, history, now_ms)
+        record = self._find_record(notice.instance_id, notice.started_ms)
+        if record is not None:
+            self._record_leaving(notice.instance_id, record, now_ms)
 
     def announced_service(self, instance_id: str) -> str:
         """Return the service that was announced under an id; empty for none."""
-        history = self._histories.get(instance_id)
-        if history is None or history.heartbeat is None:
+        record = self._records.get(instance_id)
+        if record is None or record.heartbeat is None:
             return ""
-        return history.heartbeat.service
+        return record.heartbeat.service
 
     def discover(self, instance_id: str, service: str, slots: int) -> bool:
         """Take in what a health probe found where nothing was announced.
@@ -135,9 +135,9 @@
         bool
             Whether this is the incarnation that gets the requests now.
         """
-        history = self._histories.get(instance_id)
-        gone = history is not None and (
-            history.ended or history.leaving_since_ms is not None
+        record = self._records.get(instance_id)
+        gone = record is not None and (
+            record.ended or record.leaving_since_ms is not None
         )
         if self.instance_id or gone:
             return False
@@ -148,18 +148,18 @@
 
     def confirm_instance(self, instance_id: str, now_ms: float) -> None:
         """Learn from an answer which incarnation runs at the address."""
-        history = self._histories.get(instance_id)
-        if not instance_id or (history is not None and history.ended):
+        record = self._records.get(instance_id)
+        if not instance_id or (record is not None and record.ended):
             return
         if instance_id == self.instance_id:
             self.conflicting_id = ""
             return
         if self.instance_id:
-            self._note_end(self.instance_id)
+            self._mark_ended(self.instance_id)
         self.instance_id = ""
         self.conflicting_id = ""
-        if history is not None and history.heartbeat is not None:
-            self._replace(history.heartbeat, now_ms)
+        if record is not None and record.heartbeat is not None:
+            self._switch_to(record.heartbeat, now_ms)
 
     def mark_gone(self, incarnation: Incarnation) -> None:
         """Note that an incarnation does not run at the address any more.
@@ -167,10 +167,10 @@
         A later one under the same id is not concerned.
         """
         name = incarnation.instance_id.decode("latin-1")
-        history = self._histories.get(name)
-        if history is not None and history.is_after(incarnation.started_ms or None):
+        record = self._records.get(name)
+        if record is not None and record.is_newer_than(incarnation.started_ms or None):
             return
-        self._note_end(name)
+        self._mark_ended(name)
         if name == self.instance_id:
             self.instance_id = ""
 
@@ -187,9 +187,9 @@
         if not self.instance_id:
             return False
         since_ms = self._leaving_since_ms()
-        return since_ms is None or now_ms - since_ms < self.drain_ms * DRAIN_SHARE
+        return since_ms is None or now_ms - since_ms < self.drain_ms * DRAIN_ADMIT_RATIO
 
-    def obstacle(self, request: Request, now_ms: float) -> Reason | None:
+    def refusal_reason(self, request: Request, now_ms: float) -> Reason | None:
         """Return why a request may not be sent to it; None if it may."""
         if not self.instance_id or self.service != request.service:
             return Reason.NO_BACKEND
@@ -201,35 +201,39 @@
         """Return how much longer the backend server is slow after its start."""
         return max(0.0, self._cold_until_ms - now_ms)
 
-    def _history(self, name: str, started_ms: int | None) -> History | None:
-        """Return the history that news of an incarnation belong to.
+    def _find_record(
+        self, name: str, started_ms: int | None
+    ) -> IncarnationRecord | None:
+        """Return the record that news of an incarnation belong to.
 
         None if they are late news of a start before the newest one. A later start
         begins anew: its heartbeats count from one again, and what the earlier one
         said of leaving does not hold.
         """
-        history = self._histories.get(name)
-        if history is None or history.is_followed_by(started_ms):
-            history = self._histories[name] = History(started_ms)
-        if history.is_after(started_ms):
+        record = self._records.get(name)
+        if record is None or record.is_superseded_by(started_ms):
+            record = self._records[name] = IncarnationRecord(started_ms)
+        if record.is_newer_than(started_ms):
             return None
-        if history.started_ms is None:
-            history.started_ms = started_ms
-        return history
+        if record.started_ms is None:
+            record.started_ms = started_ms
+        return record
 
-    def _note_end(self, name: str) -> None:
-        self._histories.setdefault(name, History(None)).ended = True
+    def _mark_ended(self, name: str) -> None:
+        self._records.setdefault(name, IncarnationRecord(None)).ended = True
 
     def _leaving_since_ms(self) -> float | None:
-        history = self._histories.get(self.instance_id)
-        return None if history is None else history.leaving_since_ms
+        record = self._records.get(self.instance_id)
+        return None if record is None else record.leaving_since_ms
 
-    def _begin_leaving(self, name: str, history: History, now_ms: float) -> None:
-        if history.leaving_since_ms is None:
-            known = name == self.instance_id or history.heartbeat is not None
-            history.leaving_since_ms = now_ms if known else UNKNOWN_SINCE_MS
+    def _record_leaving(
+        self, name: str, record: IncarnationRecord, now_ms: float
+    ) -> None:
+        if record.leaving_since_ms is None:
+            known = name == self.instance_id or record.heartbeat is not None
+            record.leaving_since_ms = now_ms if known else LEAVING_SINCE_UNKNOWN_MS
 
-    def _replace(self, heartbeat: Heartbeat, now_ms: float) -> None:
+    def _switch_to(self, heartbeat: Heartbeat, now_ms: float) -> None:
         self.instance_id = heartbeat.instance_id
         self.conflicting_id = ""
         self._adopt(heartbeat, now_ms)
--- a/azurestep/mesh/backend/transfers.py
+++ b/azurestep/mesh/backend/transfers.py
@@ -16,7 +16,7 @@
 class BodyTransfer(Faultable, Protocol):
     """A request whose body is fetched when its turn comes."""
 
-    def ask_for_body(self) -> None:
+    def request_body(self) -> None:
         """Ask the sender for the body."""
 
     def refuse_if_late(self, now_ms: float) -> None:
@@ -27,7 +27,7 @@
 class BodyTransfers:
     """The bodies that are being fetched, and those that wait."""
 
-    _fetching: set[BodyTransfer] = attrs.field(factory=set)
+    _active: set[BodyTransfer] = attrs.field(factory=set)
     _waiting: deque[BodyTransfer] = attrs.field(factory=deque)
 
     @property
@@ -37,22 +37,22 @@
 
     def begin(self, transfer: BodyTransfer) -> bool:
         """Whether a body may be fetched now; if not, its turn comes later."""
-        if self._waiting or len(self._fetching) >= MAX_CONCURRENT_TRANSFERS:
+        if self._waiting or len(self._active) >= MAX_CONCURRENT_TRANSFERS:
             self._waiting.append(transfer)
             return False
-        self._fetching.add(transfer)
+        self._active.add(transfer)
         return True
 
     def end(self, transfer: BodyTransfer) -> None:
         """Note that a body came or is not needed."""
-        self._fetching.discard(transfer)
+        self._active.discard(transfer)
         if transfer in self._waiting:
             self._waiting.remove(transfer)
 
     def start_next(self) -> BodyTransfer | None:
         """Give a free place to the one that waited longest, and return that."""
-        if not self._waiting or len(self._fetching) >= MAX_CONCURRENT_TRANSFERS:
+        if not self._waiting or len(self._active) >= MAX_CONCURRENT_TRANSFERS:
             return None
-        following = self._waiting.popleft()
-        self._fetching.add(following)
-        return following
+        transfer = self._waiting.popleft()
+        self._active.add(transfer)
+        return transfer
--- a/azurestep/mesh/decisions/cadence.py
+++ b/azurestep/mesh/decisions/cadence.py
@@ -17,7 +17,7 @@
 """Load reports to the nodes of the own data centre, where most requests stay."""
 REMOTE_REPORTS_PER_S = 20.0
 """Load reports to other data centres; these bytes are priced."""
-REPORT_LEAST_MS = 200.0
+MIN_REPORT_INTERVAL_MS = 200.0
 """Shortest time between two load reports; a look at the load comes each 0.2 s."""
 
 
@@ -32,9 +32,9 @@
     return max(MIN_IDLE_PROBE_INTERVAL_MS, links * 1000 / IDLE_PROBES_PER_S)
 
 
-def report_ms(links: int, per_s: float) -> float:
+def report_interval_ms(links: int, per_s: float) -> float:
     """Return the time between two load reports to each of so many nodes."""
-    return max(REPORT_LEAST_MS, links * 1000 / per_s)
+    return max(MIN_REPORT_INTERVAL_MS, links * 1000 / per_s)
 
 
 @attrs.define(slots=True)
@@ -48,19 +48,19 @@
     """
 
     per_s: float
-    _told: bytes = b""
-    _told_ms: float = float("-inf")
+    _last_report: bytes = b""
+    _last_report_ms: float = float("-inf")
 
     def is_due(self, report: bytes, links: int, now_ms: float) -> bool:
         """Whether a report is news and its time has come; it then counts as sent."""
-        if report == self._told:
+        if report == self._last_report:
             return False
-        if now_ms - self._told_ms < report_ms(links, self.per_s):
+        if now_ms - self._last_report_ms < report_interval_ms(links, self.per_s):
             return False
         self.mark_sent(report, now_ms)
         return True
 
     def mark_sent(self, report: bytes, now_ms: float) -> None:
         """Note that a report was sent out of turn."""
-        self._told = report
-        self._told_ms = now_ms
+        self._last_report = report
+        self._last_report_ms = now_ms
--- a/azurestep/mesh/decisions/choice.py
+++ b/azurestep/mesh/decisions/choice.py
@@ -7,32 +7,32 @@
 
 from ..incarnation import Incarnation
 
-RUN_FIRST_MS = 150.0
+INITIAL_RUN_MS = 150.0
 """Run time assumed for a route while no answer was seen; near the mean of the
 workloads that were measured."""
-RUN_GAIN = 0.1
+RUN_MEAN_WEIGHT = 0.1
 """Weight of a new run time in the mean over all backend servers."""
-SAMPLED_ABOVE = 8
+MAX_UNSAMPLED = 8
 """Backend servers above which only some are weighed for one request: with 71 nodes,
 load is told too seldom for a choice of the best of all."""
-NEAR_SAMPLE = 4
-FAR_SAMPLE = 2
+LOCAL_SAMPLE = 4
+REMOTE_SAMPLE = 2
 """Candidates in the own data centre and outside it: where load news is older, fewer."""
 OBJECTIVE_STEEPNESS = 3
 """How fast the value of an answer falls as its time nears the objective."""
-ABROAD_COST = 0.014
+REMOTE_PENALTY_PER_KIB = 0.014
 """Value lost for each KiB that crosses data centres: a read of 1.7 KiB costs some
 0.024 of its worth, an upload of 60 KiB some 0.84, where the operators pay 14,000
 times a read's worth for a GB."""
-BALANCE_WEIGHT = 0.1
+LOAD_PENALTY = 0.1
 """Value lost at a full backend server, growing with the square of its load; it
 spreads load where times are equal."""
-COLD_FACTOR = 2.0
+COLD_RUN_FACTOR = 2.0
 """How much slower a backend server is while it is cold."""
-FAILURE_COST = 1.0
+FAILURE_PENALTY = 1.0
 """Value lost at a backend server all of whose runs fail: all that an answer is
 worth, since a failed run is lost or costs a retry and its time."""
-TIE = 0.01
+MAX_TIE_BREAK = 0.01
 """Random part that keeps nodes with the same news from choosing the same one."""
 
 
@@ -133,7 +133,7 @@
 
     def get(self, route: str) -> float:
         """Return the mean of a route."""
-        return self._mean_ms.get(route, RUN_FIRST_MS)
+        return self._mean_ms.get(route, INITIAL_RUN_MS)
 
     def get_or_zero(self, route: str) -> float:
         """Return the mean of a route, or 0 before the first answer."""
@@ -142,7 +142,7 @@
     def learn(self, route: str, run_ms: float) -> None:
         """Take the run time that a backend server told in."""
         known = self._mean_ms.get(route, run_ms)
-        self._mean_ms[route] = known + RUN_GAIN * (run_ms - known)
+        self._mean_ms[route] = known + RUN_MEAN_WEIGHT * (run_ms - known)
 
 
 def choose_endpoint(
@@ -156,40 +156,45 @@
     best = None
     best_value = 0.0
     usable = [one for one in endpoints if one.open and one.key not in excluded]
-    for endpoint in _sample(usable, criteria.data_centre, random):
-        value = _value(endpoint, criteria, now_ms) + random.random() * TIE
+    for endpoint in _sample_candidates(usable, criteria.data_centre, random):
+        value = (
+            _expected_value(endpoint, criteria, now_ms)
+            + random.random() * MAX_TIE_BREAK
+        )
         if best is None or value > best_value:
             best, best_value = endpoint, value
     return best
 
 
-def _sample(
+def _sample_candidates(
     endpoints: list[Endpoint], data_centre: str, random: Random
 ) -> list[Endpoint]:
     """Return the candidates: all of a few, some of many.
 
     Many nodes that choose the best of the same old news all choose the same one.
     """
-    if len(endpoints) <= SAMPLED_ABOVE:
+    if len(endpoints) <= MAX_UNSAMPLED:
         return endpoints
-    near = [one for one in endpoints if one.data_centre == data_centre]
-    far = [one for one in endpoints if one.data_centre != data_centre]
-    chosen = random.sample(near, min(NEAR_SAMPLE, len(near)))
-    return chosen + random.sample(far, min(FAR_SAMPLE, len(far)))
+    local = [one for one in endpoints if one.data_centre == data_centre]
+    remote = [one for one in endpoints if one.data_centre != data_centre]
+    chosen = random.sample(local, min(LOCAL_SAMPLE, len(local)))
+    return chosen + random.sample(remote, min(REMOTE_SAMPLE, len(remote)))
 
 
-def _value(endpoint: Endpoint, criteria: SelectionCriteria, now_ms: float) -> float:
+def _expected_value(
+    endpoint: Endpoint, criteria: SelectionCriteria, now_ms: float
+) -> float:
     run_ms = endpoint.mean_run_ms.get(criteria.route, criteria.mean_run_ms)
     if now_ms < endpoint.cold_until_ms:
-        run_ms *= COLD_FACTOR
+        run_ms *= COLD_RUN_FACTOR
     load = endpoint.load
     wait_ms = max(0.0, load + 1 - endpoint.slots) / endpoint.slots * run_ms
     objective_ms = max(criteria.objective_ms, 1.0)
     value = 1.0 / (1.0 + ((wait_ms + run_ms) / objective_ms) ** OBJECTIVE_STEEPNESS)
-    value -= FAILURE_COST * endpoint.failure_ratio
-    value -= BALANCE_WEIGHT * (load / endpoint.slots) ** 2
+    value -= FAILURE_PENALTY * endpoint.failure_ratio
+    value -= LOAD_PENALTY * (load / endpoint.slots) ** 2
     if now_ms < endpoint.failed_until_ms or endpoint.unresponsive:
         value -= 1.0
     if endpoint.data_centre != criteria.data_centre:
-        value -= ABROAD_COST * criteria.size_kib
+        value -= REMOTE_PENALTY_PER_KIB * criteria.size_kib
     return value
--- a/azurestep/mesh/decisions/health.py
+++ b/azurestep/mesh/decisions/health.py
@@ -2,19 +2,19 @@
 
 Health probes may say well of a server that fails every request, and ill of one
 that serves. So the node beside a backend server counts the runs that failed, with
-a short memory, and tells all nodes the share; they go by it when they choose. The
+a short memory, and tells all nodes the ratio; they go by it when they choose. The
 counts fade, so that a server which is avoided is tried again after some 3 s. Pure.
 """
 
 import attrs
 
-FADE = 0.9
+TICK_DECAY = 0.9
 """Part of the counts that is kept at each tick of 0.1 s: a memory of one second. A
 server that failed all of 15 requests a second is told as half failing 2 s later."""
-PRIOR_RUNS = 2.0
+PRIOR_SUCCESSES = 2.0
 """Good runs that are assumed, so that one failure doesn't close a quiet server."""
-STEP = 0.1
-"""Steps in which the share is told, so that small changes cost no messages."""
+REPORT_STEP = 0.1
+"""Steps in which the ratio is told, so that small changes cost no messages."""
 
 
 @attrs.define(slots=True)
@@ -41,8 +41,8 @@
 
     def tick(self) -> None:
         """Let 0.1 s pass."""
-        self._runs *= FADE
-        self._failures *= FADE
+        self._runs *= TICK_DECAY
+        self._failures *= TICK_DECAY
 
     def clear(self) -> None:
         """Forget the runs; another incarnation serves."""
@@ -51,5 +51,5 @@
     @property
     def failure_ratio(self) -> float:
         """Share of the runs that fail, from 0 to 1, in steps."""
-        share = self._failures / (self._runs + PRIOR_RUNS)
-        return round(round(share / STEP) * STEP, 2)
+        ratio = self._failures / (self._runs + PRIOR_SUCCESSES)
+        return round(round(ratio / REPORT_STEP) * REPORT_STEP, 2)
--- a/azurestep/mesh/decisions/pressure.py
+++ b/azurestep/mesh/decisions/pressure.py
@@ -14,28 +14,28 @@
 
 import attrs
 
-LEARN_REQUESTS = 60
+MIN_ROUTE_REQUESTS = 60
 """Requests of a route that are looked at before it counts as calls: with callers
 spread over three services, 60 from one service come by chance once in 3^59."""
-CALLS_SHARE = 0.95
+MIN_CALLER_RATIO = 0.95
 """Share of a route's requests that come from one service if they are its calls; an
 instance that changes its service mislabels a few."""
-FORGET_REQUESTS = 600
+MAX_ROUTE_REQUESTS = 600
 """Requests after which the older half is forgotten."""
-DECAY = 0.95
+TICK_DECAY = 0.95
 """Part of the counts that is kept at each tick of 0.1 s: a memory of two seconds."""
-LEAST_REQUESTS = 4.0
+MIN_RECENT_REQUESTS = 4.0
 """Requests in that memory below which no share is told."""
-SHED_MOST = 0.5
+MAX_SHED_RATIO = 0.5
 """Largest share that is shed. Without a limit, a called service far short of room
 left 0.22 of all requests served in the seconds after a restart of the fleet, below
 the quarter that is the least; with it the same seed kept that bound."""
-STEP = 0.05
+REPORT_STEP = 0.05
 """Steps in which shares are told, so that small changes cost no messages."""
 
-Caller = tuple[str, int]
+CallingService = tuple[str, int]
 """A service whose runs call the one beside the node, and its calls' priority."""
-Refusals = tuple[str, int, float]
+RefusalRatio = tuple[str, int, float]
 """Service, priority, and the share of a route's requests that was refused."""
 
 
@@ -44,31 +44,31 @@
 
     def __init__(self) -> None:
         self._origins: dict[str, dict[bytes, int]] = {}
-        self._callers: dict[str, Caller] = {}
+        self._callers: dict[str, CallingService] = {}
 
     def record_request(self, route: str, priority: int, calling_service: bytes) -> None:
         """Count a request that arrived."""
         origins = self._origins.setdefault(route, {})
         origins[calling_service] = origins.get(calling_service, 0) + 1
         total = sum(origins.values())
-        if total < LEARN_REQUESTS:
+        if total < MIN_ROUTE_REQUESTS:
             return
         name, most = max(origins.items(), key=lambda item: item[1])
-        if most >= total * CALLS_SHARE:
+        if most >= total * MIN_CALLER_RATIO:
             self._callers[route] = (name.decode("latin-1"), priority)
         else:
             self._callers.pop(route, None)
-        if total >= FORGET_REQUESTS:
+        if total >= MAX_ROUTE_REQUESTS:
             halves = {name: count // 2 for name, count in origins.items()}
             self._origins[route] = {k: count for k, count in halves.items() if count}
 
-    def callers(self) -> tuple[Caller, ...]:
+    def callers(self) -> tuple[CallingService, ...]:
         """Return the services that call, each with its calls' priority."""
         return tuple(sorted(set(self._callers.values())))
 
 
 @attrs.define(slots=True)
-class Counts:
+class RecentCounts:
     """Requests of a route with a fading memory."""
 
     service: str
@@ -76,30 +76,30 @@
     offered: float = 0.0
     refused: float = 0.0
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Let a tick pass."""
-        self.offered *= DECAY
-        self.refused *= DECAY
+        self.offered *= TICK_DECAY
+        self.refused *= TICK_DECAY
 
     @property
-    def share(self) -> float:
+    def ratio(self) -> float:
         """Share that was refused, in steps."""
-        if self.offered < LEAST_REQUESTS:
+        if self.offered < MIN_RECENT_REQUESTS:
             return 0.0
-        return round(round(self.refused / self.offered / STEP) * STEP, 2)
+        return round(round(self.refused / self.offered / REPORT_STEP) * REPORT_STEP, 2)
 
 
 class RefusalMeter:
     """Counts which share of each route's requests this node refuses."""
 
     def __init__(self) -> None:
-        self._counts: dict[str, Counts] = {}
+        self._counts: dict[str, RecentCounts] = {}
 
     def record_offered(self, route: str, service: str, priority: int) -> None:
         """Count a request that is sent to a service."""
         counts = self._counts.get(route)
         if counts is None or counts.service != service:
-            counts = self._counts[route] = Counts(service, priority)
+            counts = self._counts[route] = RecentCounts(service, priority)
         counts.offered += 1
 
     def record_refused(self, route: str) -> None:
@@ -111,14 +111,14 @@
     def tick(self) -> None:
         """Let 0.1 s pass."""
         for counts in self._counts.values():
-            counts.fade()
+            counts.decay()
 
-    def report(self) -> tuple[Refusals, ...]:
+    def report(self) -> tuple[RefusalRatio, ...]:
         """Return the shares that other nodes should know."""
         return tuple(
-            (counts.service, counts.priority, counts.share)
+            (counts.service, counts.priority, counts.ratio)
             for _, counts in sorted(self._counts.items())
-            if counts.share
+            if counts.ratio
         )
 
 
@@ -127,8 +127,8 @@
     """What one node says: its service, who calls it, what the node refuses."""
 
     service: str
-    callers: tuple[Caller, ...]
-    refusals: tuple[Refusals, ...]
+    callers: tuple[CallingService, ...]
+    refusals: tuple[RefusalRatio, ...]
 
 
 class LoadShedder:
@@ -136,47 +136,51 @@
 
     Examples
     --------
-    >>> view = LoadShedder()
-    >>> view.update([
+    >>> shedder = LoadShedder()
+    >>> shedder.update([
     ...     PressureReport("books", (("shop", 1),), (("books", 1, 0.4),)),
     ...     PressureReport("shop", (), ()),
     ... ])
-    >>> view.shed_ratio("shop", 2), view.shed_ratio("shop", 1)
+    >>> shedder.shed_ratio("shop", 2), shedder.shed_ratio("shop", 1)
     (0.2, 0.0)
-    >>> view.shed_ratio("books", 2)
+    >>> shedder.shed_ratio("books", 2)
     0.0
     """
 
     def __init__(self) -> None:
-        self._shed: dict[str, list[tuple[int, float]]] = {}
+        self._ratios: dict[str, list[tuple[int, float]]] = {}
 
     def update(self, reports: Iterable[PressureReport]) -> None:
         """Take the newest reports of all nodes."""
-        told = list(reports)
+        known = list(reports)
         means: dict[tuple[str, int], float] = {}
-        for report in told:
-            for service, priority, share in report.refusals:
+        for report in known:
+            for service, priority, ratio in report.refusals:
                 key = (service, priority)
-                means[key] = means.get(key, 0.0) + share / len(told)
-        self._shed = {}
+                means[key] = means.get(key, 0.0) + ratio / len(known)
+        self._ratios = {}
         if means:
-            for service, caller, spared in set(_edges(told)):
-                share = max(
-                    (m for (s, p), m in means.items() if s == service and p <= spared),
+            for service, caller, call_priority in set(_list_callers(known)):
+                ratio = max(
+                    (
+                        m
+                        for (s, p), m in means.items()
+                        if s == service and p <= call_priority
+                    ),
                     default=0.0,
                 )
-                self._shed.setdefault(caller, []).append((spared, share))
+                self._ratios.setdefault(caller, []).append((call_priority, ratio))
 
     def shed_ratio(self, service: str, priority: int) -> float:
         """Return the share of a service's requests of a priority to refuse."""
-        told = self._shed.get(service)
-        if not told:
+        edges = self._ratios.get(service)
+        if not edges:
             return 0.0
-        shares = (share for spared, share in told if priority > spared)
-        return min(SHED_MOST, max(shares, default=0.0))
+        ratios = (ratio for call_priority, ratio in edges if priority > call_priority)
+        return min(MAX_SHED_RATIO, max(ratios, default=0.0))
 
 
-def _edges(reports: list[PressureReport]) -> Iterator[tuple[str, str, int]]:
+def _list_callers(reports: list[PressureReport]) -> Iterator[tuple[str, str, int]]:
     for report in reports:
         for caller, priority in report.callers:
             yield report.service, caller, priority
--- a/azurestep/mesh/decisions/retry_budget.py
+++ b/azurestep/mesh/decisions/retry_budget.py
@@ -7,10 +7,10 @@
 
 import attrs
 
-RATIO_SHARE = 0.5
+USED_RETRY_RATIO = 0.5
 """Part of the allowed ratio that is used: calls made by repeated runs count at
 the services they reach, so half is kept for them."""
-EXTRA_SHARE = 0.5
+USED_EXTRA_RATIO = 0.5
 """Part of the fixed number that is used, for the same reason."""
 
 
@@ -39,26 +39,26 @@
     window_ms: float
     members: int = 1
     _tokens: dict[str, float] = attrs.field(factory=dict)
-    _filled_ms: dict[str, float] = attrs.field(factory=dict)
+    _refilled_ms: dict[str, float] = attrs.field(factory=dict)
 
     def earn(self, service: str) -> None:
         """Count a request for a service."""
-        most = self._most()
-        tokens = self._tokens.get(service, most)
-        self._tokens[service] = min(most, tokens + self.ratio * RATIO_SHARE)
+        max_tokens = self._max_tokens()
+        tokens = self._tokens.get(service, max_tokens)
+        self._tokens[service] = min(max_tokens, tokens + self.ratio * USED_RETRY_RATIO)
 
     def spend(self, service: str, now_ms: float) -> bool:
         """Whether a request may be repeated now; the repeat is counted."""
-        most = self._most()
-        since_ms = now_ms - self._filled_ms.get(service, now_ms)
-        self._filled_ms[service] = now_ms
-        refill = since_ms / self.window_ms * most * EXTRA_SHARE
-        tokens = min(most, self._tokens.get(service, most) + refill)
+        max_tokens = self._max_tokens()
+        since_ms = now_ms - self._refilled_ms.get(service, now_ms)
+        self._refilled_ms[service] = now_ms
+        refill = since_ms / self.window_ms * max_tokens * USED_EXTRA_RATIO
+        tokens = min(max_tokens, self._tokens.get(service, max_tokens) + refill)
         if tokens < 1.0:
             self._tokens[service] = tokens
             return False
         self._tokens[service] = tokens - 1.0
         return True
 
-    def _most(self) -> float:
-        return max(1.0, self.extra * EXTRA_SHARE / max(1, self.members))
+    def _max_tokens(self) -> float:
+        return max(1.0, self.extra * USED_EXTRA_RATIO / max(1, self.members))
--- a/azurestep/mesh/decisions/returning.py
+++ b/azurestep/mesh/decisions/returning.py
@@ -12,11 +12,11 @@
 
 import attrs
 
-SAME_DEADLINE_MS = 25.0
+DEADLINE_TOLERANCE_MS = 25.0
 """Most that the deadlines of two attempts of one caller differ here: the time that two
 requests take from the caller differs by less (3 to 8 ms on the deployments that were
 measured), and times are told in whole milliseconds."""
-REMEMBERED_MOST = 4096
+MAX_TRACKED_ATTEMPTS = 4096
 """Attempts remembered at most: twice what a node refuses in the longest deadline seen
 (7 s) at 300 requests a second; some 0.5 MB."""
 
@@ -58,41 +58,41 @@
     100.0
     """
 
-    _open: dict[tuple[bytes, ...], list[Attempt]] = attrs.field(factory=dict)
+    _attempts: dict[tuple[bytes, ...], list[Attempt]] = attrs.field(factory=dict)
     _count: int = 0
 
     def add(self, attempt: Attempt) -> None:
         """Take in an attempt that ended without success."""
-        if self._count < REMEMBERED_MOST:
-            self._open.setdefault(attempt.request_key, []).append(attempt)
+        if self._count < MAX_TRACKED_ATTEMPTS:
+            self._attempts.setdefault(attempt.request_key, []).append(attempt)
             self._count += 1
 
     def first_attempt_ms(
         self, request_key: tuple[bytes, ...], now_ms: float, deadline_ms: float
     ) -> float:
         """Return when the caller of an attempt that arrives now first asked."""
-        attempts = self._open.get(request_key)
+        attempts = self._attempts.get(request_key)
         if attempts is None:
             return now_ms
         for index, attempt in enumerate(attempts):
-            if abs(attempt.deadline_ms - deadline_ms) <= SAME_DEADLINE_MS:
-                self._take(request_key, index)
+            if abs(attempt.deadline_ms - deadline_ms) <= DEADLINE_TOLERANCE_MS:
+                self._remove(request_key, index)
                 return attempt.first_attempt_ms
         return now_ms
 
     def expire(self, now_ms: float) -> None:
         """Forget attempts whose caller has given up."""
-        for request_key, attempts in list(self._open.items()):
+        for request_key, attempts in list(self._attempts.items()):
             kept = [one for one in attempts if one.deadline_ms > now_ms]
             self._count -= len(attempts) - len(kept)
             if kept:
-                self._open[request_key] = kept
+                self._attempts[request_key] = kept
             else:
-                del self._open[request_key]
+                del self._attempts[request_key]
 
-    def _take(self, request_key: tuple[bytes, ...], index: int) -> None:
-        attempts = self._open[request_key]
+    def _remove(self, request_key: tuple[bytes, ...], index: int) -> None:
+        attempts = self._attempts[request_key]
         del attempts[index]
         self._count -= 1
         if not attempts:
-            del self._open[request_key]
+            del self._attempts[request_key]
--- a/azurestep/mesh/decisions/sizes.py
+++ b/azurestep/mesh/decisions/sizes.py
@@ -9,9 +9,9 @@
 
 import attrs
 
-SIZE_FIRST_KIB = 1.5
+INITIAL_SIZE_KIB = 1.5
 """Size assumed for a route until its first answer: about one packet."""
-SIZE_GAIN = 0.1
+SIZE_MEAN_WEIGHT = 0.1
 """Weight of a new answer in the mean: about the last twenty. Sizes of one route vary by
 a factor of two around their mean, and the mean moves by a tenth of that."""
 
@@ -32,10 +32,10 @@
 
     def mean_kib(self, route: str) -> float:
         """Return the mean of a route."""
-        return self._mean_kib.get(route, SIZE_FIRST_KIB)
+        return self._mean_kib.get(route, INITIAL_SIZE_KIB)
 
     def learn(self, route: str, size_bytes: int) -> None:
         """Take the size of a whole answer in."""
         size_kib = size_bytes / 1024
         known = self._mean_kib.get(route, size_kib)
-        self._mean_kib[route] = known + SIZE_GAIN * (size_kib - known)
+        self._mean_kib[route] = known + SIZE_MEAN_WEIGHT * (size_kib - known)
--- a/tests/fixtures_inbound.py
+++ b/tests/fixtures_inbound.py
@@ -138,8 +138,8 @@
     def submit(
         self,
         listener: Listener,
-        budget_ms: float = 1200.0,
-        held: bool = False,
+        remaining_ms: float = 1200.0,
+        needs_confirmation: bool = False,
         body_bytes: int = 0,
     ) -> Run:
         """Submit a read, or a held request whose body comes later."""
@@ -155,13 +155,13 @@
             b"",
             True,
             2,
-            budget_ms,
-            budget_ms,
+            remaining_ms,
+            remaining_ms,
             self.loop.now_ms,
             body_bytes,
             not body_bytes,
             b"",
-            needs_confirmation=held,
+            needs_confirmation=needs_confirmation,
         )
         return self.inbound.submit(request, listener)
 
--- a/tests/test_mesh_backend.py
+++ b/tests/test_mesh_backend.py
@@ -4,7 +4,7 @@
 import pytest
 
 from azurestep.errors import MessageMalformedError
-from azurestep.mesh.backend.state import DRAIN_SHARE, Backend
+from azurestep.mesh.backend.state import DRAIN_ADMIT_RATIO, Backend
 from azurestep.platform.announcement import Heartbeat, LeavingNotice, read_announcement
 
 DRAIN_MS = 2000.0
@@ -18,21 +18,21 @@
     return backend
 
 
-def test_first_heartbeat_opens(backend: Backend) -> None:
+def test_the_first_heartbeat_opens_the_server(backend: Backend) -> None:
     assert backend.is_open()
     assert backend.admits(0.0)
 
 
-def test_leaving_closes_the_choice_at_once_and_the_door_inside_the_bound(
+def test_a_leaving_server_closes_at_once_and_admits_requests_for_part_of_the_drain(
     backend: Backend,
 ) -> None:
     backend.apply_heartbeat(attrs.evolve(BEAT, sequence=2, leaving=True), 100.0)
     assert not backend.is_open()
-    assert backend.admits(100.0 + DRAIN_MS * DRAIN_SHARE - 1)
-    assert not backend.admits(100.0 + DRAIN_MS * DRAIN_SHARE)
+    assert backend.admits(100.0 + DRAIN_MS * DRAIN_ADMIT_RATIO - 1)
+    assert not backend.admits(100.0 + DRAIN_MS * DRAIN_ADMIT_RATIO)
 
 
-def test_deregistration_without_a_heartbeat_before_is_a_leaving(
+def test_a_leaving_notice_closes_the_server(
     backend: Backend,
 ) -> None:
     backend.apply_leaving(LeavingNotice("i-1"), 50.0)
@@ -40,21 +40,23 @@
     assert not backend.admits(50.0 + DRAIN_MS)
 
 
-def test_late_heartbeat_does_not_reopen_a_leaving_server(backend: Backend) -> None:
+def test_a_late_heartbeat_does_not_reopen_a_leaving_server(backend: Backend) -> None:
     backend.apply_heartbeat(attrs.evolve(BEAT, sequence=5, leaving=True), 100.0)
     backend.apply_heartbeat(attrs.evolve(BEAT, sequence=4), 200.0)
     backend.apply_heartbeat(attrs.evolve(BEAT, sequence=6), 300.0)
     assert not backend.is_open()
 
 
-def test_heartbeat_of_a_dead_incarnation_changes_nothing(backend: Backend) -> None:
+def test_a_heartbeat_of_another_incarnation_only_marks_a_conflict(
+    backend: Backend,
+) -> None:
     backend.confirm_instance("i-1", 0.0)
     backend.apply_heartbeat(attrs.evolve(BEAT, instance_id="i-0", sequence=9), 10.0)
     assert backend.instance_id == "i-1"
     assert backend.conflicting_id == "i-0"
 
 
-def test_answer_of_a_new_incarnation_replaces_the_old_one(backend: Backend) -> None:
+def test_an_answer_of_a_new_incarnation_replaces_the_old_one(backend: Backend) -> None:
     backend.apply_heartbeat(attrs.evolve(BEAT, instance_id="i-2"), 10.0)
     backend.confirm_instance("i-2", 20.0)
     assert backend.instance_id == "i-2"
@@ -63,7 +65,7 @@
     assert backend.conflicting_id == ""
 
 
-def test_answer_of_an_unknown_incarnation_closes_until_it_announces_itself(
+def test_an_answer_of_an_unknown_incarnation_closes_until_its_heartbeat(
     backend: Backend,
 ) -> None:
     backend.confirm_instance("i-3", 20.0)
@@ -82,6 +84,6 @@
         b' "status": {"state": "ready", "sequence": 1, "cold_remaining": "soon"}}',
     ],
 )
-def test_an_unreadable_heartbeat_has_a_typed_error(body: bytes) -> None:
+def test_an_unreadable_heartbeat_raises_message_malformed(body: bytes) -> None:
     with pytest.raises(MessageMalformedError):
         read_announcement("/v1/instances/i-1/heartbeat", body)
--- a/tests/test_mesh_bodies.py
+++ b/tests/test_mesh_bodies.py
@@ -16,7 +16,9 @@
 def upload(beside: Beside, budget_ms: float = 1200.0) -> tuple[Run, Listener]:
     """Submit a request whose body is sent when it is asked for."""
     listener = Listener()
-    run = beside.submit(listener, budget_ms, held=True, body_bytes=len(BODY))
+    run = beside.submit(
+        listener, budget_ms, needs_confirmation=True, body_bytes=len(BODY)
+    )
     return run, listener
 
 
@@ -105,7 +107,7 @@
 def test_a_held_request_that_is_let_go_too_late_is_not_run(beside: Beside) -> None:
     beside.inbound.admission.learn("read", 500.0)
     listener = Listener()
-    run = beside.submit(listener, FAR_MS, held=True)
+    run = beside.submit(listener, FAR_MS, needs_confirmation=True)
     beside.inbound.stop(beside.loop.now_ms + 600.0)
     beside.loop.now_ms += 350.0
     run.proceed()
@@ -118,7 +120,7 @@
     beside: Beside,
 ) -> None:
     beside.inbound.admission.learn("read", 5000.0)
-    run = beside.submit(Listener(), held=True)
+    run = beside.submit(Listener(), needs_confirmation=True)
     beside.loop.now_ms += 3.0
     run.proceed()
     beside.loop.run_due()
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -10,7 +10,7 @@
 from azurestep.mesh.decisions.cadence import (
     IDLE_PROBES_PER_S,
     MIN_IDLE_PROBE_INTERVAL_MS,
-    REPORT_LEAST_MS,
+    MIN_REPORT_INTERVAL_MS,
     ReportPacer,
     idle_probe_interval_ms,
 )
@@ -32,39 +32,39 @@
 
 
 @given(links=LINKS)
-def test_load_reports_keep_to_their_rate(links: int) -> None:
-    audience = ReportPacer(per_s=40.0)
+def test_load_reports_stay_within_their_rate(links: int) -> None:
+    pacer = ReportPacer(per_s=40.0)
     seconds = 100
     sent = sum(
-        audience.is_due(str(tick).encode(), links, tick * 100.0)
+        pacer.is_due(str(tick).encode(), links, tick * 100.0)
         for tick in range(seconds * 10)
     )
     assert (sent - 1) * links <= 40.0 * seconds
-    assert sent <= seconds * 1000 / REPORT_LEAST_MS + 1
+    assert sent <= seconds * 1000 / MIN_REPORT_INTERVAL_MS + 1
 
 
-def test_a_report_that_says_nothing_new_is_not_sent() -> None:
-    audience = ReportPacer(per_s=40.0)
-    assert audience.is_due(b"a", 2, 0.0)
-    assert not audience.is_due(b"a", 2, 10_000.0)
-    assert not audience.is_due(b"b", 2, 100.0)
-    assert audience.is_due(b"b", 2, 500.0)
+def test_an_unchanged_report_is_not_sent() -> None:
+    pacer = ReportPacer(per_s=40.0)
+    assert pacer.is_due(b"a", 2, 0.0)
+    assert not pacer.is_due(b"a", 2, 10_000.0)
+    assert not pacer.is_due(b"b", 2, 100.0)
+    assert pacer.is_due(b"b", 2, 500.0)
 
 
 @pytest.mark.parametrize("data", [b"", b"no zlib", compress(b"x" * 100)[:-3]])
-def test_a_cut_configuration_is_no_configuration(data: bytes) -> None:
+def test_a_truncated_configuration_is_rejected(data: bytes) -> None:
     with pytest.raises(ValueError, match="configuration"):
         decompress(data)
 
 
-def test_a_large_configuration_shrinks_on_the_link() -> None:
+def test_a_large_configuration_is_compressed() -> None:
     routes = {f"route-{index}": {"path_prefix": f"/{index}/"} for index in range(3000)}
     content = document(1, routes=routes)
     assert len(compress(content)) * 4 < len(content)
     assert decompress(compress(content)) == content
 
 
-async def test_a_server_that_leaves_is_told_at_once_between_load_reports(
+async def test_a_leaving_server_is_reported_at_once_between_load_reports(
     mesh: MeshFleet,
 ) -> None:
     leaving, other = mesh.instances[0], mesh.instances[1]
@@ -76,25 +76,25 @@
             await asyncio.sleep(0.01)
 
 
-async def test_only_the_node_that_read_a_version_tells_it_at_once(
+async def test_only_the_node_that_read_a_version_reports_it_at_once(
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     reports: list[int] = []
-    plain = PeerListener._write
+    original = PeerListener._write
 
     def counting(self: PeerListener, servers: set[PeerServer], data: bytes) -> None:
         reports.append(len(servers) if data[1] == Kind.STATE else 0)
-        plain(self, servers, data)
+        original(self, servers, data)
 
     monkeypatch.setattr(PeerListener, "_write", counting)
     listener = mesh.instances[0].node.listener
     configuration = mesh.instances[0].node.configuration
-    far = {one for one in listener.servers if not listener._is_near(one)}
+    remote = {one for one in listener.servers if not listener._is_near(one)}
     listener.broadcast_state()
     reports.clear()
     configuration.offer(document(40), PEER)
     listener.broadcast_state()
-    assert max(reports, default=0) <= len(far)
+    assert max(reports, default=0) <= len(remote)
     configuration.offer(document(41), STORE)
     reports.clear()
     listener.broadcast_state()
@@ -102,7 +102,9 @@
     await asyncio.sleep(0)
 
 
-async def test_a_node_that_was_busy_doubts_nobody_for_it(mesh: MeshFleet) -> None:
+async def test_a_stalled_node_does_not_take_peers_for_unresponsive(
+    mesh: MeshFleet,
+) -> None:
     node = mesh.instances[0].node
     links = list(node.members.links.values())
     for link in links:
@@ -113,15 +115,15 @@
     assert not any(link.endpoint.unresponsive for link in links)
 
 
-async def test_a_version_is_pushed_by_the_node_that_read_it_only(
+async def test_only_the_node_that_read_a_version_pushes_it(
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     pushed: list[PeerListener] = []
 
-    def note(self: PeerListener) -> None:
+    def record_push(self: PeerListener) -> None:
         pushed.append(self)
 
-    monkeypatch.setattr(PeerListener, "push_configuration", note)
+    monkeypatch.setattr(PeerListener, "push_configuration", record_push)
     node = mesh.instances[0].node
     node.configuration.offer(document(50), PEER)
     assert pushed == []
--- a/tests/test_mesh_choice.py
+++ b/tests/test_mesh_choice.py
@@ -28,22 +28,26 @@
     return found and found.key
 
 
-def test_the_own_data_centre_goes_first(random: Random) -> None:
+def test_the_local_data_centre_is_preferred(random: Random) -> None:
     near, far = endpoint("near"), endpoint("far", "dc-2")
     assert {pick([near, far], random) for _ in range(50)} == {"near"}
 
 
-def test_a_read_goes_abroad_when_all_slots_near_are_taken(random: Random) -> None:
+def test_a_read_goes_to_a_remote_data_centre_when_local_slots_are_taken(
+    random: Random,
+) -> None:
     near, far = endpoint("near", in_flight=8), endpoint("far", "dc-2")
     assert pick([near, far], random) == "far"
 
 
-def test_an_upload_waits_near_rather_than_going_abroad(random: Random) -> None:
+def test_an_upload_waits_rather_than_going_to_a_remote_data_centre(
+    random: Random,
+) -> None:
     near, far = endpoint("near", in_flight=5), endpoint("far", "dc-2")
     assert pick([near, far], random, size_kib=60.0) == "near"
 
 
-def test_a_faster_backend_server_gets_more(random: Random) -> None:
+def test_a_faster_backend_server_is_preferred(random: Random) -> None:
     slow = endpoint("slow", mean_run_ms={"read": 300.0})
     fast = endpoint("fast", mean_run_ms={"read": 80.0})
     assert pick([slow, fast], random) == "fast"
@@ -58,14 +62,14 @@
     assert min(counts.values()) > 50
 
 
-def test_a_closed_or_excluded_one_is_never_chosen(random: Random) -> None:
+def test_a_closed_or_excluded_server_is_never_chosen(random: Random) -> None:
     closed = endpoint("closed", open=False)
     criteria = SelectionCriteria("shop", "read", 400.0, 150.0, 1.5, "dc-1")
     assert choose_endpoint([closed], criteria, set(), 0.0, random) is None
     assert choose_endpoint([endpoint("a")], criteria, {"a"}, 0.0, random) is None
 
 
-def test_one_that_failed_or_is_doubted_is_the_last_resort(random: Random) -> None:
+def test_a_failed_or_unresponsive_server_is_the_last_resort(random: Random) -> None:
     failed = endpoint("failed", failed_until_ms=100.0)
     doubted = endpoint("doubted", unresponsive=True)
     sound = endpoint("sound", in_flight=4)
@@ -73,7 +77,7 @@
     assert pick([doubted], random) == "doubted"
 
 
-def test_own_requests_count_until_the_other_node_tells(random: Random) -> None:
+def test_own_requests_count_until_the_next_report(random: Random) -> None:
     one = endpoint("one")
     one.update_load(3)
     one.own_in_flight += 2
@@ -82,7 +86,9 @@
     assert one.load == 2
 
 
-def test_a_server_that_was_not_asked_yet_counts_as_usual(random: Random) -> None:
+def test_a_server_without_samples_is_assumed_to_have_the_mean_run_time(
+    random: Random,
+) -> None:
     known = endpoint("known", mean_run_ms={"read": 400.0})
     unknown = endpoint("unknown", "dc-2")
     criteria = SelectionCriteria("shop", "read", 1200.0, 400.0, 1.5, "dc-1")
@@ -93,24 +99,24 @@
     assert set(found) == {known}
 
 
-def test_many_nodes_with_the_same_old_news_choose_different_servers(
+def test_nodes_with_the_same_outdated_reports_choose_different_servers(
     random: Random,
 ) -> None:
-    crowd = [endpoint(f"e{index}", in_flight=4) for index in range(30)]
-    crowd[0].in_flight = 0
-    picks = Counter(pick(crowd, random) for _ in range(300))
+    endpoints = [endpoint(f"e{index}", in_flight=4) for index in range(30)]
+    endpoints[0].in_flight = 0
+    picks = Counter(pick(endpoints, random) for _ in range(300))
     assert picks["e0"] < 150
     assert len(picks) > 20
 
 
-def test_a_crowd_far_away_is_left_to_its_own_callers(random: Random) -> None:
+def test_many_remote_servers_attract_no_local_requests(random: Random) -> None:
     near = [endpoint(f"n{index}") for index in range(9)]
     far = [endpoint(f"f{index}", "dc-2") for index in range(27)]
     picks = Counter(str(pick(near + far, random))[0] for _ in range(200))
     assert picks["f"] == 0
 
 
-def test_a_long_answer_stays_near_where_a_read_goes_abroad(random: Random) -> None:
+def test_a_long_answer_stays_local_where_a_read_goes_remote(random: Random) -> None:
     sizes = AnswerSizes()
     for _ in range(30):
         sizes.learn("download", 90_000)
--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -23,13 +23,13 @@
     monkeypatch: pytest.MonkeyPatch,
     owner: type,
     method: str,
-    names: Callable[..., bytes],
+    request_id_of: Callable[..., bytes],
 ) -> None:
     """Let a method raise for the faulty request alone."""
     sound = getattr(owner, method)
 
     def faulty(self: Any, *arguments: Any) -> Any:
-        if names(self, *arguments) == FAULTY:
+        if request_id_of(self, *arguments) == FAULTY:
             raise KeyError("a fault of our own")
         return sound(self, *arguments)
 
@@ -49,13 +49,13 @@
     return call.caller.request_id
 
 
-BESIDE_SERVER = {
+SERVER_STEPS = {
     "submit": (Inbound, of_submitted),
     "proceed": (Run, of_run),
 }
 
 
-async def one_link(mesh: MeshFleet) -> tuple[MeshInstance, MeshInstance]:
+async def use_one_link(mesh: MeshFleet) -> tuple[MeshInstance, MeshInstance]:
     """Leave one server, so that all requests of a caller go over one link."""
     caller, remote, other = mesh.instances
     for instance in (caller, other):
@@ -72,7 +72,7 @@
     return sum(count for (name, _), count in counters.items() if name == "faults")
 
 
-async def pay_beside_a_faulty_one(
+async def pay_with_one_fault(
     mesh: MeshFleet, caller: MeshInstance
 ) -> tuple[int, list[int]]:
     """Send a payment that meets the fault, and four that don't."""
@@ -85,34 +85,38 @@
 
 
 @pytest.mark.parametrize("method", ["submit", "proceed"])
-async def test_a_fault_beside_the_server_fails_its_request_alone(
+async def test_a_fault_at_the_server_fails_only_its_request(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch, method: str
 ) -> None:
-    owner, names = BESIDE_SERVER[method]
-    caller, remote = await one_link(mesh)
-    breaks(monkeypatch, owner, method, names)
-    assert await pay_beside_a_faulty_one(mesh, caller) == (502, [200] * 4)
-    (told,) = mesh_lines.of(9010, events.PEER_MALFORMED.number, events.PEER_LOST.number)
-    assert told["id"] == FAULTY.decode()
-    assert method in told["traceback"]
+    owner, request_id_of = SERVER_STEPS[method]
+    caller, remote = await use_one_link(mesh)
+    breaks(monkeypatch, owner, method, request_id_of)
+    assert await pay_with_one_fault(mesh, caller) == (502, [200] * 4)
+    (entry,) = mesh_lines.of(
+        9010, events.PEER_MALFORMED.number, events.PEER_LOST.number
+    )
+    assert entry["id"] == FAULTY.decode()
+    assert method in entry["traceback"]
     assert (faults(remote), faults(caller)) == (1, 0)
     assert not remote.node.inbound.busy
 
 
 @pytest.mark.parametrize("method", ["on_answer", "_pass_on", "on_slot_ready"])
-async def test_a_fault_beside_the_caller_fails_its_request_alone(
+async def test_a_fault_at_the_caller_fails_only_its_request(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch, method: str
 ) -> None:
-    caller, remote = await one_link(mesh)
+    caller, remote = await use_one_link(mesh)
     breaks(monkeypatch, Call, method, of_call)
-    assert await pay_beside_a_faulty_one(mesh, caller) == (502, [200] * 4)
-    (told,) = mesh_lines.of(9010, events.PEER_MALFORMED.number, events.PEER_LOST.number)
-    assert method in told["traceback"]
+    assert await pay_with_one_fault(mesh, caller) == (502, [200] * 4)
+    (entry,) = mesh_lines.of(
+        9010, events.PEER_MALFORMED.number, events.PEER_LOST.number
+    )
+    assert method in entry["traceback"]
     assert (faults(remote), faults(caller)) == (0, 1)
     await eventually(lambda: not remote.node.inbound.busy)
 
 
-async def test_what_can_not_be_decoded_resets_the_link(
+async def test_undecodable_data_resets_the_link(
     mesh: MeshFleet, mesh_lines: MeshLines
 ) -> None:
     reader, writer = await asyncio.open_connection(mesh.instances[0].host, PEER_PORT)
@@ -125,12 +129,12 @@
     assert (await mesh.get(mesh.instances[1], "/read/1", "after"))[0] == 200
 
 
-async def test_a_receiver_that_fails_leaves_the_others_to_be_told(
+async def test_a_failing_receiver_keeps_no_other_from_its_outcome(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    caller, remote = await one_link(mesh)
+    caller, remote = await use_one_link(mesh)
     breaks(monkeypatch, Call, "on_failure", of_call)
-    paying = asyncio.create_task(pay_beside_a_faulty_one(mesh, caller))
+    paying = asyncio.create_task(pay_with_one_fault(mesh, caller))
     await eventually(lambda: remote.server.running == 4)
     for server in list(remote.node.listener.servers):
         server.abort()
@@ -139,24 +143,24 @@
     faulty, others = await paying
     assert (faulty, sorted(others)) == (502, [502, 502, 502, 503])
     assert loop.time() - began < 0.25
-    (told,) = mesh_lines.of(9010)
-    assert told["id"] == FAULTY.decode()
+    (entry,) = mesh_lines.of(9010)
+    assert entry["id"] == FAULTY.decode()
 
 
-async def test_a_run_that_can_not_be_cancelled_leaves_the_others_cancelled(
+async def test_a_fault_in_one_cancellation_prevents_no_other(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    caller, remote = await one_link(mesh)
+    caller, remote = await use_one_link(mesh)
     remote.server.work_s = 1.0
     breaks(monkeypatch, Run, "cancel", of_run)
-    paying = asyncio.create_task(pay_beside_a_faulty_one(mesh, caller))
+    paying = asyncio.create_task(pay_with_one_fault(mesh, caller))
     await eventually(lambda: remote.server.running == 4)
     for link in caller.node.members.links.values():
         link.close()
     await paying
     await eventually(lambda: remote.server.running <= 1, 0.3)
-    (told,) = mesh_lines.of(9010)
-    assert told["id"] == FAULTY.decode()
+    (entry,) = mesh_lines.of(9010)
+    assert entry["id"] == FAULTY.decode()
 
 
 def of_stream(receiver: Any, *_: object) -> bytes:
@@ -164,26 +168,26 @@
     return b"" if run is None else of_run(run)
 
 
-WHERE_ANSWERS_ARE_TAKEN = [
-    (Run, "_judge", of_run),
+ANSWER_STEPS = [
+    (Run, "_classify_answer", of_run),
     (Run, "_finish_run", of_run),
     (RemoteReceiver, "on_answer", of_stream),
 ]
 
 
-@pytest.mark.parametrize("place", WHERE_ANSWERS_ARE_TAKEN)
-async def test_a_fault_in_taking_an_answer_is_told_at_once_and_blames_no_server(
+@pytest.mark.parametrize("place", ANSWER_STEPS)
+async def test_a_fault_in_handling_an_answer_is_reported_at_once_and_blames_no_server(
     mesh: MeshFleet,
     mesh_lines: MeshLines,
     monkeypatch: pytest.MonkeyPatch,
     place: tuple[type, str, Callable[..., bytes]],
 ) -> None:
-    owner, method, names = place
-    caller, remote = await one_link(mesh)
-    breaks(monkeypatch, owner, method, names)
+    owner, method, request_id_of = place
+    caller, remote = await use_one_link(mesh)
+    breaks(monkeypatch, owner, method, request_id_of)
     loop = asyncio.get_running_loop()
     began = loop.time()
-    assert await pay_beside_a_faulty_one(mesh, caller) == (502, [200] * 4)
+    assert await pay_with_one_fault(mesh, caller) == (502, [200] * 4)
     assert loop.time() - began < 0.9
     assert not remote.node.inbound.busy
     assert not remote.node.inbound.admission.running
--- a/tests/test_mesh_containment_queue.py
+++ b/tests/test_mesh_containment_queue.py
@@ -16,7 +16,7 @@
 from .fixtures_inbound import Beside, Listener, make_beside
 from .test_mesh_bodies import upload
 
-FAR_MS = 60_000.0
+LONG_MS = 60_000.0
 SLOTS = 4
 
 
@@ -37,49 +37,49 @@
         yield
 
 
-def fill(beside: Beside, count: int = SLOTS) -> list[Run]:
+def occupy_slots(beside: Beside, count: int = SLOTS) -> list[Run]:
     """Take slots with runs that last."""
-    runs = [beside.submit(Listener(), FAR_MS) for _ in range(count)]
+    runs = [beside.submit(Listener(), LONG_MS) for _ in range(count)]
     beside.loop.run_due()
     return runs
 
 
-def test_a_fault_in_the_start_of_a_run_takes_no_slot(beside: Beside) -> None:
+def test_a_fault_in_the_start_of_a_run_leaks_no_slot(beside: Beside) -> None:
     with broken(Run, "start"):
         for _ in range(SLOTS):
             with pytest.raises(KeyError):
-                beside.submit(Listener(), FAR_MS)
+                beside.submit(Listener(), LONG_MS)
     assert beside.inbound.admission.in_flight == 0
     assert not beside.inbound.busy
 
 
-def test_a_fault_in_asking_for_a_body_takes_no_turn(beside: Beside) -> None:
+def test_a_fault_in_requesting_a_body_leaks_no_transfer(beside: Beside) -> None:
     with broken(Listener, "on_slot_ready"):
         for _ in range(MAX_CONCURRENT_TRANSFERS):
             with pytest.raises(KeyError):
-                upload(beside, FAR_MS)
-    _, sound = upload(beside, FAR_MS)
+                upload(beside, LONG_MS)
+    _, sound = upload(beside, LONG_MS)
     beside.loop.run_due()
     assert sound.asked == 1
     assert beside.inbound.admission.in_flight == 1
 
 
-def test_a_fault_in_the_age_of_one_run_hides_no_other(beside: Beside) -> None:
+def test_a_fault_in_one_timeout_check_skips_no_other(beside: Beside) -> None:
     listeners = [Listener(), Listener()]
     faulty, _ = (beside.submit(one) for one in listeners)
     beside.loop.run_due()
     beside.loop.now_ms += 2000.0
-    with broken(Run, "check_age", lambda run, _: run is faulty):
+    with broken(Run, "enforce_timeouts", lambda run, _: run is faulty):
         beside.inbound.tick()
         beside.loop.run_due()
     assert [one.outcomes for one in listeners] == [["failed FAULT"], ["failed TIMEOUT"]]
     assert beside.inbound.admission.in_flight == 0
 
 
-def test_a_fault_in_the_age_of_a_run_keeps_no_address_untried(
+def test_a_fault_in_a_timeout_check_does_not_prevent_a_reconnection(
     beside: Beside,
 ) -> None:
-    fill(beside, 1)
+    occupy_slots(beside, 1)
     beside.inbound.unreachable = True
     swept: list[float] = []
     tried: list[object] = []
@@ -88,7 +88,7 @@
         tried.append(None)
         return None
 
-    with broken(Run, "check_age"), pytest.MonkeyPatch.context() as patch:
+    with broken(Run, "enforce_timeouts"), pytest.MonkeyPatch.context() as patch:
         patch.setattr(IdlePool, "sweep", lambda idle, now_s: swept.append(now_s))
         patch.setattr(type(beside.inbound), "connect", connect)
         beside.inbound.tick()
@@ -97,13 +97,13 @@
     assert len(tried) == 1
 
 
-def test_a_request_that_can_not_be_refused_keeps_no_other_waiting(
+def test_a_fault_in_refusing_a_request_does_not_block_the_queue(
     beside: Beside,
 ) -> None:
-    running = fill(beside)
+    running = occupy_slots(beside)
     stuck, waiting = Listener(), Listener()
     faulty = beside.submit(stuck)
-    next_run = beside.submit(waiting, FAR_MS)
+    next_run = beside.submit(waiting, LONG_MS)
     faulty.ticket.deadline_ms = beside.loop.now_ms
     with broken(Run, "refuse", lambda run, *_: run is faulty):
         running[0].cancel()
@@ -112,13 +112,13 @@
     assert stuck.outcomes == ["failed FAULT"]
 
 
-def test_a_waiting_request_that_can_not_start_keeps_no_other_waiting(
+def test_a_fault_in_starting_a_request_does_not_block_the_queue(
     beside: Beside,
 ) -> None:
-    running = fill(beside)
+    running = occupy_slots(beside)
     stuck = Listener()
     faulty = beside.submit(stuck)
-    next_run = beside.submit(Listener(), FAR_MS)
+    next_run = beside.submit(Listener(), LONG_MS)
     with broken(Run, "start", lambda run: run is faulty):
         running[0].cancel()
         beside.loop.run_due()
@@ -127,10 +127,10 @@
     assert len(beside.inbound.admission.running) == SLOTS
 
 
-def test_an_upload_whose_lateness_can_not_be_told_keeps_no_other_waiting(
+def test_a_fault_in_checking_an_upload_does_not_block_the_transfers(
     beside: Beside,
 ) -> None:
-    uploads = [upload(beside, FAR_MS) for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
+    uploads = [upload(beside, LONG_MS) for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
     faulty, stuck = uploads[MAX_CONCURRENT_TRANSFERS]
     _, following = uploads[MAX_CONCURRENT_TRANSFERS + 1]
     with broken(Run, "refuse_if_late", lambda run, _: run is faulty):
@@ -140,29 +140,29 @@
     assert stuck.outcomes == ["failed FAULT"]
 
 
-def of_counted_end(_: Metrics, name: str, *__: object) -> bool:
+def is_outcome_count(_: Metrics, name: str, *__: object) -> bool:
     return name in ("refused_here", "failed_here")
 
 
-def of_any(*_: object) -> bool:
+def always(*_: object) -> bool:
     return True
 
 
-STEPS_OF_AN_END = [
-    (Run, "_drop_connection", of_any),
-    (Metrics, "count", of_counted_end),
-    (Admission, "leave", of_any),
-    (Inbound, "release", of_any),
-    (Inbound, "ran", of_any),
-    (BodyTransfers, "end", of_any),
+FINISH_STEPS = [
+    (Run, "_drop_connection", always),
+    (Metrics, "count", is_outcome_count),
+    (Admission, "remove", always),
+    (Inbound, "release", always),
+    (Inbound, "record_run", always),
+    (BodyTransfers, "end", always),
 ]
 
 
-def test_a_fault_in_the_end_of_a_run_still_tells_its_receiver() -> None:
-    for step in STEPS_OF_AN_END:
+def test_a_fault_in_the_end_of_a_run_still_reports_its_outcome() -> None:
+    for step in FINISH_STEPS:
         beside = make_beside()
         refused, failed = Listener(), Listener()
-        fill(beside, SLOTS - 1)
+        occupy_slots(beside, SLOTS - 1)
         run = beside.submit(failed)
         waiting = beside.submit(refused)
         beside.loop.run_due()
@@ -175,10 +175,10 @@
         assert refused.outcomes == ["TOO_LATE"], step
 
 
-def test_a_connection_that_can_not_be_used_ends_its_request(beside: Beside) -> None:
+def test_a_fault_in_sending_a_request_ends_it(beside: Beside) -> None:
     listener = Listener()
     with broken(Run, "_send"):
-        beside.submit(listener, FAR_MS)
+        beside.submit(listener, LONG_MS)
         with contextlib.suppress(KeyError):
             beside.loop.run_due()
     beside.loop.run_due()
--- a/tests/test_mesh_crashes.py
+++ b/tests/test_mesh_crashes.py
@@ -45,7 +45,7 @@
     tracker.record_death("shop", request.incarnation, now_ms + 1)
 
 
-def test_a_request_that_was_under_way_at_two_deaths_is_refused(
+def test_a_request_in_flight_at_two_deaths_is_quarantined(
     tracker: CrashTracker,
 ) -> None:
     crash(tracker, request(), 0.0)
@@ -55,7 +55,7 @@
     assert not tracker.is_quarantined(request(b"/read/2"), 30.0)
 
 
-def test_a_connection_that_ended_while_the_server_lives_is_no_death(
+def test_a_connection_lost_to_a_live_server_is_no_death(
     tracker: CrashTracker,
 ) -> None:
     for name in (b"i-1", b"i-2", b"i-3"):
@@ -65,14 +65,14 @@
     assert not tracker.is_quarantined(request(), 30.0)
 
 
-def test_a_request_that_is_answered_again_is_cleared(tracker: CrashTracker) -> None:
+def test_a_request_that_is_answered_is_cleared(tracker: CrashTracker) -> None:
     crash(tracker, request(), 0.0)
     tracker.record_answered(request(instance_id=b"i-2"), 10.0)
     crash(tracker, request(instance_id=b"i-3"), 20.0)
     assert not tracker.is_quarantined(request(), 30.0)
 
 
-def test_what_one_node_saw_another_learns(tracker: CrashTracker) -> None:
+def test_updates_of_one_node_are_merged_by_another(tracker: CrashTracker) -> None:
     crash(tracker, request(), 0.0)
     crash(tracker, request(instance_id=b"i-2"), 20.0)
     other = CrashTracker("127.0.0.2", count_servers=lambda service: 6)
@@ -101,8 +101,8 @@
     status, _ = await mesh.get(mesh.instances[0], POISON, "x1")
     assert status == 502
     assert len(crashed) == 2
-    spared = next(item for item in mesh.instances if item.host not in crashed)
-    is_quarantined = spared.node.crashes.is_quarantined
+    survivor = next(item for item in mesh.instances if item.host not in crashed)
+    is_quarantined = survivor.node.crashes.is_quarantined
     await eventually(lambda: is_quarantined(request(POISON.encode()), loop_ms()))
     for index, instance in enumerate(mesh.instances):
         status, _ = await mesh.get(instance, POISON, f"x{index + 2}")
--- a/tests/test_mesh_downloads.py
+++ b/tests/test_mesh_downloads.py
@@ -73,7 +73,7 @@
     return signed(received, body_of(received))
 
 
-async def test_answers_behind_a_long_one_are_delivered(mesh: MeshFleet) -> None:
+async def test_answers_after_a_long_one_are_delivered(mesh: MeshFleet) -> None:
     for instance in mesh.instances:
         instance.server.misbehave = long_answer
     for index in range(12):
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("kept", [1000, 300_000])
-async def test_a_long_answer_that_is_cut_never_looks_whole(
+async def test_a_truncated_long_answer_never_looks_complete(
     mesh: MeshFleet, kept: int
 ) -> None:
     for instance in mesh.instances:
@@ -111,7 +111,7 @@
     assert not (head.startswith(b"HTTP/1.1 200") and whole)
 
 
-async def runs_beside_a_silent_link(mesh: MeshFleet, answer_bytes: int) -> int:
+async def count_runs_with_unresponsive_link(mesh: MeshFleet, answer_bytes: int) -> int:
     """Let the link to a running read's node fall silent for a while; count its runs."""
     caller, *servers = mesh.instances
     await caller.beat(mesh.session, "draining")
@@ -122,24 +122,28 @@
         instance.server.work_s = 0.5
     task = asyncio.create_task(mesh.get(caller, "/read/1", "m1"))
     await eventually(lambda: any(one.server.runs["m1"] for one in servers))
-    silent = next(one for one in servers if one.server.runs["m1"])
-    silence(silent)
+    unresponsive = next(one for one in servers if one.server.runs["m1"])
+    silence(unresponsive)
     await asyncio.sleep(0.35)
-    for server in list(silent.node.listener.servers):
+    for server in list(unresponsive.node.listener.servers):
         del server.write
     assert (await task)[0] == 200
     return sum(one.server.runs["m1"] for one in servers)
 
 
-async def test_a_download_is_not_sent_again_on_a_mere_doubt(mesh: MeshFleet) -> None:
-    assert await runs_beside_a_silent_link(mesh, 90_000) == 1
+async def test_a_download_is_not_retried_for_an_unresponsive_link(
+    mesh: MeshFleet,
+) -> None:
+    assert await count_runs_with_unresponsive_link(mesh, 90_000) == 1
 
 
-async def test_a_short_read_is(mesh: MeshFleet) -> None:
-    assert await runs_beside_a_silent_link(mesh, 1_500) == 2
+async def test_a_short_read_is_retried_for_an_unresponsive_link(
+    mesh: MeshFleet,
+) -> None:
+    assert await count_runs_with_unresponsive_link(mesh, 1_500) == 2
 
 
-async def test_a_long_error_is_not_mixed_into_the_next_server_s_answer(
+async def test_a_long_error_is_not_mixed_into_the_answer_of_a_retry(
     mesh: MeshFleet,
 ) -> None:
     failed: list[str] = []
--- a/tests/test_mesh_health.py
+++ b/tests/test_mesh_health.py
@@ -15,7 +15,7 @@
 TICKS_IN_3_S = 30
 
 
-def failed_often(runs: int) -> Health:
+def health_after_failures(runs: int) -> Health:
     health = Health()
     for _ in range(runs):
         health.record(failed=True)
@@ -23,27 +23,27 @@
 
 
 def test_one_failure_does_not_close_a_quiet_server() -> None:
-    assert failed_often(1).failure_ratio <= 0.4
+    assert health_after_failures(1).failure_ratio <= 0.4
 
 
-def test_a_server_that_fails_all_is_told_so() -> None:
-    assert failed_often(15).failure_ratio >= 0.8
+def test_a_server_that_fails_all_runs_has_a_high_failure_ratio() -> None:
+    assert health_after_failures(15).failure_ratio >= 0.8
 
 
-def test_a_server_that_is_avoided_is_tried_again_after_three_seconds() -> None:
-    health = failed_often(15)
+def test_the_failure_ratio_falls_within_three_seconds_without_runs() -> None:
+    health = health_after_failures(15)
     for _ in range(TICKS_IN_3_S):
         health.tick()
     assert health.failure_ratio <= 0.3
 
 
-def test_a_new_incarnation_starts_afresh() -> None:
-    health = failed_often(15)
+def test_a_new_incarnation_has_no_failures() -> None:
+    health = health_after_failures(15)
     health.clear()
     assert health.failure_ratio == 0.0
 
 
-def test_a_failing_server_is_chosen_only_when_the_others_are_past_their_room() -> None:
+def test_a_failing_server_is_chosen_only_when_the_others_are_overloaded() -> None:
     failing = Endpoint("failing", "shop", b"f", "dc", slots=4, failure_ratio=0.6)
     other = Endpoint("other", "shop", b"o", "dc", slots=4, in_flight=4)
     criteria = SelectionCriteria("shop", "read", 400.0, 150.0, 1.5, "dc")
@@ -68,31 +68,31 @@
     return beside.inbound.health.failure_ratio
 
 
-def test_a_run_that_is_withdrawn_before_its_deadline_is_no_failure(
+def test_a_run_withdrawn_before_its_deadline_is_no_failure(
     beside: Beside,
 ) -> None:
     beside.inbound.admission.learn("read", 700.0)
     assert withdraw_after(beside, 600.0) == 0.0
-    assert beside.inbound.admission.run_ms("read") == 700.0
+    assert beside.inbound.admission.mean_run_ms("read") == 700.0
 
 
 @pytest.mark.parametrize("pause_ms", [1150.0, 1200.0])
-def test_a_run_that_is_withdrawn_at_its_deadline_is_a_failure(
+def test_a_run_withdrawn_at_its_deadline_is_a_failure(
     beside: Beside, pause_ms: float
 ) -> None:
     assert withdraw_after(beside, pause_ms) > 0.0
-    assert beside.inbound.admission.run_ms("read") == pause_ms
+    assert beside.inbound.admission.mean_run_ms("read") == pause_ms
 
 
-def refuses(received: Received) -> bytes:
+def answer_500(received: Received) -> bytes:
     return signed(received, b"no", status=500)
 
 
-async def test_payments_avoid_a_server_that_fails_while_its_probe_is_good(
+async def test_payments_avoid_a_server_that_fails_while_its_probe_succeeds(
     mesh: MeshFleet,
 ) -> None:
-    sick = mesh.instances[0].server
-    sick.misbehave = refuses
+    failing_server = mesh.instances[0].server
+    failing_server.misbehave = answer_500
     for index in range(20):
         await mesh.get(mesh.instances[index % 3], "/read/1", f"r{index}")
     async with asyncio.timeout(2):
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("status", [504, 404])
-async def test_answers_at_the_deadline_and_refusals_of_content_are_no_failure(
+async def test_statuses_504_and_404_are_no_failures(
     mesh: MeshFleet, status: int
 ) -> None:
     instance = mesh.instances[0]
--- a/tests/test_mesh_idle.py
+++ b/tests/test_mesh_idle.py
@@ -19,7 +19,7 @@
     return IdlePool(8000.0)
 
 
-def test_a_connection_that_rested_longer_than_is_trusted_is_not_taken(
+def test_a_connection_idle_beyond_the_reuse_limit_is_not_taken(
     idle: IdlePool,
 ) -> None:
     idle.reduce_reuse_limit(300.0, 0.0)
@@ -29,7 +29,7 @@
     assert idle.take(1.1) is not None
 
 
-def test_trust_only_falls_until_it_is_restored(idle: IdlePool) -> None:
+def test_the_reuse_limit_only_falls_until_it_is_reset(idle: IdlePool) -> None:
     idle.reduce_reuse_limit(300.0, 0.0)
     idle.reduce_reuse_limit(2000.0, 1.0)
     assert idle.reuse_limit_ms == pytest.approx(180.0)
@@ -39,7 +39,7 @@
     assert idle.reuse_limit_ms == 8000.0
 
 
-async def test_after_one_reset_no_payment_is_sent_on_a_connection_as_old(
+async def test_no_payment_uses_a_connection_as_old_as_one_that_was_reset(
     mesh: MeshFleet,
 ) -> None:
     instance = mesh.instances[0]
--- a/tests/test_mesh_pressure.py
+++ b/tests/test_mesh_pressure.py
@@ -8,7 +8,7 @@
 )
 
 
-def test_a_route_used_by_one_service_only_is_taken_for_its_calls() -> None:
+def test_a_route_used_by_one_service_only_is_detected_as_its_calls() -> None:
     detector = CallerDetector()
     for index in range(120):
         detector.record_request("book", 1, (b"shop", b"books", b"files")[index % 3])
@@ -16,7 +16,7 @@
     assert detector.callers() == (("shop", 1),)
 
 
-def test_a_route_that_callers_also_use_elsewhere_is_not() -> None:
+def test_a_route_used_from_several_services_is_not_detected_as_calls() -> None:
     detector = CallerDetector()
     for index in range(300):
         detector.record_request("book", 1, b"books" if index % 10 == 0 else b"shop")
@@ -30,7 +30,7 @@
     assert detector.callers() == (("shop", 1),)
 
 
-def test_a_node_tells_the_share_that_it_refused_in_the_end() -> None:
+def test_a_node_reports_the_ratio_that_it_refused() -> None:
     meter = RefusalMeter()
     for index in range(40):
         meter.record_offered("book", "books", 1)
@@ -39,7 +39,7 @@
     assert meter.report() == (("books", 1, 0.25),)
 
 
-def test_refusals_fade() -> None:
+def test_refusals_decay() -> None:
     meter = RefusalMeter()
     for _ in range(40):
         meter.record_offered("book", "books", 1)
@@ -49,27 +49,27 @@
     assert meter.report() == ()
 
 
-def test_only_less_urgent_requests_of_the_caller_are_shed() -> None:
-    view = LoadShedder()
-    view.update([PressureReport("books", (("shop", 1),), (("books", 1, 0.5),))])
-    assert view.shed_ratio("shop", 2) == 0.5
-    assert view.shed_ratio("shop", 1) == 0.0
-    assert view.shed_ratio("files", 2) == 0.0
+def test_only_less_urgent_requests_to_the_calling_service_are_shed() -> None:
+    shedder = LoadShedder()
+    shedder.update([PressureReport("books", (("shop", 1),), (("books", 1, 0.5),))])
+    assert shedder.shed_ratio("shop", 2) == 0.5
+    assert shedder.shed_ratio("shop", 1) == 0.0
+    assert shedder.shed_ratio("files", 2) == 0.0
 
 
-def test_refusals_of_less_urgent_requests_do_not_press() -> None:
-    view = LoadShedder()
-    view.update([PressureReport("books", (("shop", 1),), (("books", 3, 0.5),))])
-    assert view.shed_ratio("shop", 2) == 0.0
+def test_refusals_of_less_urgent_requests_cause_no_shedding() -> None:
+    shedder = LoadShedder()
+    shedder.update([PressureReport("books", (("shop", 1),), (("books", 3, 0.5),))])
+    assert shedder.shed_ratio("shop", 2) == 0.0
 
 
-def test_refusals_of_services_without_callers_do_not_press() -> None:
-    view = LoadShedder()
-    view.update([PressureReport("books", (), (("books", 1, 0.5),))])
-    assert view.shed_ratio("shop", 2) == 0.0
+def test_refusals_of_services_without_callers_cause_no_shedding() -> None:
+    shedder = LoadShedder()
+    shedder.update([PressureReport("books", (), (("books", 1, 0.5),))])
+    assert shedder.shed_ratio("shop", 2) == 0.0
 
 
 def test_never_more_than_half_is_shed() -> None:
-    view = LoadShedder()
-    view.update([PressureReport("books", (("shop", 1),), (("books", 1, 0.95),))])
-    assert view.shed_ratio("shop", 2) == 0.5
+    shedder = LoadShedder()
+    shedder.update([PressureReport("books", (("shop", 1),), (("books", 1, 0.95),))])
+    assert shedder.shed_ratio("shop", 2) == 0.5
--- a/tests/test_mesh_queue.py
+++ b/tests/test_mesh_queue.py
@@ -13,11 +13,11 @@
 MANY = 400
 
 
-def queue_up(beside: Beside, count: int, budget_ms: float) -> list[Listener]:
+def submit_waiting(beside: Beside, count: int, remaining_ms: float) -> list[Listener]:
     """Let requests wait behind those that run."""
     listeners = [Listener() for _ in range(count)]
     for listener in listeners:
-        beside.submit(listener, budget_ms)
+        beside.submit(listener, remaining_ms)
     beside.loop.run_due()
     assert not any(listener.outcomes for listener in listeners)
     return listeners
@@ -27,7 +27,7 @@
     beside = make_beside(slots=1)
     beside.inbound.admission.learn("read", SHORT_MS)
     first = beside.submit(Listener(), LONG_MS)
-    waiting = queue_up(beside, MANY, LONG_MS)
+    waiting = submit_waiting(beside, MANY, LONG_MS)
     beside.leave()
     answer(first)
     beside.loop.run_due()
@@ -36,10 +36,10 @@
     assert not beside.inbound.busy
 
 
-def test_a_lost_link_starts_nothing_that_it_cancels(beside: Beside) -> None:
+def test_cancelling_all_requests_of_a_lost_link_starts_none(beside: Beside) -> None:
     runs = [beside.submit(Listener()) for _ in range(8)]
     beside.loop.run_due()
-    beside.inbound.keep(ClientConnection())
+    beside.inbound.return_connection(ClientConnection())
     assert [run.may_have_run for run in runs] == [True] * 4 + [False] * 4
     for run in runs:
         run.cancel()
@@ -48,7 +48,7 @@
     assert beside.inbound.admission.in_flight == 0
 
 
-def test_a_request_that_ends_while_others_are_refused_ends_once(
+def test_a_request_that_ends_while_others_are_refused_has_one_outcome(
     beside: Beside,
 ) -> None:
     answered = Listener()
--- a/tests/test_mesh_queue_properties.py
+++ b/tests/test_mesh_queue_properties.py
@@ -31,14 +31,14 @@
 SLOTS = 3
 BODY = b"u" * 20_000
 LONGEST_MS = 3000.0
-ENOUGH = 4
+MIN_SENT = 4
 """Requests before the server may leave or the node may stop, which take no more."""
 budgets_ms = st.sampled_from([0.0, 400.0, 1200.0, 1200.0, LONGEST_MS])
 reactions = st.sampled_from(["none", "none", "submit", "cancel", "withdraw", "fail"])
 numbers = st.integers(0, 7)
 
 
-class ReceiverFailedError(Exception):
+class ReceiverError(Exception):
     """Raised by a receiver on purpose."""
 
 
@@ -70,7 +70,7 @@
         return 2 if self.failed_at == "answer" else 1
 
 
-class BooksBesideServer(RuleBasedStateMachine):
+class ServerQueueMachine(RuleBasedStateMachine):
     """Requests that come, end and interfere with one another in any order."""
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
         self.beside: Beside = make_beside(SLOTS, OpenRuntime)
         self.sent: list[Sent] = []
         self.failures = 0
-        self.beats = 1
+        self.heartbeats = 1
 
     # What callers, the server and time do.
 
@@ -110,7 +110,7 @@
         body_bytes = len(BODY) if bulk else 0
         try:
             self.beside.submit(sent.listener, budget_ms, held or bulk, body_bytes)
-        except ReceiverFailedError:
+        except ReceiverError:
             sent.raised = not sent.listener.outcomes
         sent.run = self.find(sent)
 
@@ -124,7 +124,7 @@
         sent = self.pick(number)
         if sent is not None and sent.run is not None and not sent.run.done:
             sent.cancelled = True
-            with self.failing_receivers():
+            with self.ignore_receiver_errors():
                 sent.run.cancel()
 
     @rule(number=numbers)
@@ -140,7 +140,11 @@
         self.act(number, self.send_body_of)
 
     def send_body_of(self, run: Run) -> None:
-        if run._awaits_body and run._ready_ms and not run._held:
+        if (
+            run._awaits_body
+            and run._confirmation_asked_ms
+            and not run._needs_confirmation
+        ):
             run.body(BODY, True)
 
     @rule(number=numbers)
@@ -164,20 +168,20 @@
     def announce(self) -> None:
         self.announce_as(leaving=False)
 
-    @precondition(lambda self: len(self.sent) > ENOUGH)
+    @precondition(lambda self: len(self.sent) > MIN_SENT)
     @rule()
     def leave(self) -> None:
         self.announce_as(leaving=True)
 
     def announce_as(self, leaving: bool) -> None:
-        self.beats += 1
+        self.heartbeats += 1
         beat: Heartbeat = attrs.evolve(
-            BEAT, sequence=self.beats, slots=SLOTS, leaving=leaving
+            BEAT, sequence=self.heartbeats, slots=SLOTS, leaving=leaving
         )
         now_ms = self.beside.loop.now_ms - DRAIN_MS
         self.beside.inbound.backend.apply_heartbeat(beat, now_ms)
 
-    @precondition(lambda self: len(self.sent) > ENOUGH)
+    @precondition(lambda self: len(self.sent) > MIN_SENT)
     @rule(left_ms=st.sampled_from([100.0, 600.0, 2500.0]))
     def stop(self, left_ms: float) -> None:
         if not self.beside.inbound.stopping:
@@ -188,7 +192,7 @@
         loop = self.beside.loop
         if loop.due:
             act, arguments = loop.due.popleft()
-            with self.failing_receivers():
+            with self.ignore_receiver_errors():
                 act(*arguments)
 
     @rule(pause_ms=st.sampled_from([0.0, 10.0, 100.0, 500.0]))
@@ -199,21 +203,20 @@
         assert not admission._waiting or len(admission.running) == SLOTS
         transfers = self.beside.inbound.transfers
         assert (
-            not transfers._waiting
-            or len(transfers._fetching) == MAX_CONCURRENT_TRANSFERS
+            not transfers._waiting or len(transfers._active) == MAX_CONCURRENT_TRANSFERS
         )
         now_ms = self.beside.loop.now_ms
-        assert not admission.late(now_ms)
+        assert not admission.find_late(now_ms)
         for run in transfers.waiting:
             assert isinstance(run, Run)
-            assert admission.ends_in_time(run.ticket, now_ms)
+            assert admission.can_end_in_time(run.ticket, now_ms)
 
     def settle(self) -> None:
         """Look at everything until no receiver failed meanwhile."""
         failures = -1
         while failures != self.failures:
             failures = self.failures
-            with self.failing_receivers():
+            with self.ignore_receiver_errors():
                 self.beside.inbound.tick()
             while self.beside.loop.due:
                 self.take_one_turn()
@@ -238,11 +241,11 @@
     def fail(self, sent: Sent, news: str) -> None:
         self.failures += 1
         sent.failed_at = news
-        raise ReceiverFailedError
+        raise ReceiverError
 
     @contextlib.contextmanager
-    def failing_receivers(self):  # type: ignore[no-untyped-def]
-        with contextlib.suppress(ReceiverFailedError):
+    def ignore_receiver_errors(self):  # type: ignore[no-untyped-def]
+        with contextlib.suppress(ReceiverError):
             yield
 
     def pick(self, number: int) -> Sent | None:
@@ -251,7 +254,7 @@
     def act(self, number: int, what: Callable[[Run], object]) -> None:
         sent = self.pick(number)
         if sent is not None and sent.run is not None:
-            with self.failing_receivers():
+            with self.ignore_receiver_errors():
                 what(sent.run)
 
     # What holds after each step.
@@ -269,8 +272,8 @@
     @invariant()
     def only_live_runs_with_a_slot_are_sent_bodies(self) -> None:
         transfers = self.beside.inbound.transfers
-        assert len(transfers._fetching) <= MAX_CONCURRENT_TRANSFERS
-        for run in (*transfers._fetching, *transfers._waiting):
+        assert len(transfers._active) <= MAX_CONCURRENT_TRANSFERS
+        for run in (*transfers._active, *transfers._waiting):
             assert isinstance(run, Run)
             assert not run.done
             assert run.ticket in self.beside.inbound.admission.running
@@ -285,11 +288,11 @@
             assert sent.listener.asked <= 1
 
     @invariant()
-    def all_that_failed_were_receivers(self) -> None:
+    def only_receivers_failed(self) -> None:
         runtime = self.beside.inbound.runtime
         assert isinstance(runtime, OpenRuntime)
         for error in runtime.errors:
-            assert isinstance(error, ReceiverFailedError), error
+            assert isinstance(error, ReceiverError), error
 
     def teardown(self) -> None:
         for sent in self.sent:
@@ -297,10 +300,10 @@
         self.beside.loop.now_ms += 2 * LONGEST_MS
         self.settle()
         self.each_request_has_one_outcome_or_was_cancelled()
-        self.all_that_failed_were_receivers()
+        self.only_receivers_failed()
         assert not self.beside.inbound.busy
         assert self.beside.inbound.admission.in_flight == 0
 
 
-TestBooksBesideServer = BooksBesideServer.TestCase
-TestBooksBesideServer.settings = settings(stateful_step_count=50)
+TestServerQueue = ServerQueueMachine.TestCase
+TestServerQueue.settings = settings(stateful_step_count=50)
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -11,9 +11,9 @@
 from azurestep.mesh.decisions.returning import Attempt, ReturningCallers
 
 from .fixtures_mesh import MeshFleet, caller_headers
-from .test_mesh_admission import expired, freed
+from .test_mesh_admission import end_request, remove_late
 
-PLACE = (b"GET", b"shop.example", b"/read/1")
+REQUEST_KEY = (b"GET", b"shop.example", b"/read/1")
 
 
 @pytest.fixture
@@ -21,27 +21,27 @@
     return ReturningCallers()
 
 
-def test_a_caller_is_known_by_its_place_and_deadline(
+def test_a_retry_is_matched_by_request_key_and_deadline(
     returning: ReturningCallers,
 ) -> None:
-    returning.add(Attempt(PLACE, 0.0, 1200.0))
+    returning.add(Attempt(REQUEST_KEY, 0.0, 1200.0))
     assert returning.first_attempt_ms((b"GET", b"other", b"/"), 80.0, 1200.0) == 80.0
-    assert returning.first_attempt_ms(PLACE, 80.0, 1280.0) == 80.0
-    assert returning.first_attempt_ms(PLACE, 80.0, 1202.0) == 0.0
+    assert returning.first_attempt_ms(REQUEST_KEY, 80.0, 1280.0) == 80.0
+    assert returning.first_attempt_ms(REQUEST_KEY, 80.0, 1202.0) == 0.0
 
 
-def test_an_attempt_comes_back_once(returning: ReturningCallers) -> None:
-    returning.add(Attempt(PLACE, 0.0, 1200.0))
-    assert returning.first_attempt_ms(PLACE, 80.0, 1200.0) == 0.0
-    assert returning.first_attempt_ms(PLACE, 90.0, 1200.0) == 90.0
+def test_an_attempt_matches_one_retry(returning: ReturningCallers) -> None:
+    returning.add(Attempt(REQUEST_KEY, 0.0, 1200.0))
+    assert returning.first_attempt_ms(REQUEST_KEY, 80.0, 1200.0) == 0.0
+    assert returning.first_attempt_ms(REQUEST_KEY, 90.0, 1200.0) == 90.0
 
 
-def test_callers_that_gave_up_are_forgotten(returning: ReturningCallers) -> None:
-    returning.add(Attempt(PLACE, 0.0, 1200.0))
-    returning.add(Attempt(PLACE, 500.0, 1700.0))
+def test_attempts_past_their_deadline_expire(returning: ReturningCallers) -> None:
+    returning.add(Attempt(REQUEST_KEY, 0.0, 1200.0))
+    returning.add(Attempt(REQUEST_KEY, 500.0, 1700.0))
     returning.expire(1300.0)
-    assert returning.first_attempt_ms(PLACE, 1300.0, 1200.0) == 1300.0
-    assert returning.first_attempt_ms(PLACE, 1300.0, 1700.0) == 500.0
+    assert returning.first_attempt_ms(REQUEST_KEY, 1300.0, 1200.0) == 1300.0
+    assert returning.first_attempt_ms(REQUEST_KEY, 1300.0, 1700.0) == 500.0
 
 
 async def test_the_second_attempt_of_a_caller_counts_from_its_first(
@@ -68,8 +68,8 @@
 
     SLOTS, RUN_MS, OBJECTIVE_MS, DEADLINE_MS = 13, 63.0, 200.0, 1200.0
 
-    def __init__(self, remembers: bool, seed: int) -> None:
-        self.remembers = remembers
+    def __init__(self, recognises_retries: bool, seed: int) -> None:
+        self.recognises_retries = recognises_retries
         self.random = Random(seed)
         self.admission = Admission(slots=self.SLOTS)
         self.outcomes: Counter[str] = Counter()
@@ -94,22 +94,22 @@
         self.number += 1
         heapq.heappush(self.events, (at_ms, self.number, what))
 
-    def ask(self, now_ms: float, born_ms: float, tries: int) -> None:
-        for ticket in expired(self.admission, now_ms):
+    def ask(self, now_ms: float, created_ms: float, retries: int) -> None:
+        for ticket in remove_late(self.admission, now_ms):
             self.refused(now_ms, ticket.owner, 40.0)  # type: ignore[arg-type]
-        request_key = (b"%f" % born_ms,)
-        ends_ms = born_ms + self.DEADLINE_MS
+        request_key = (b"%f" % created_ms,)
+        deadline_ms = created_ms + self.DEADLINE_MS
         first_attempt_ms = now_ms
-        if self.remembers:
+        if self.recognises_retries:
             first_attempt_ms = self.returning.first_attempt_ms(
-                request_key, now_ms, ends_ms
+                request_key, now_ms, deadline_ms
             )
         objective_deadline_ms = first_attempt_ms + self.OBJECTIVE_MS
-        owner = (born_ms, tries)
-        ticket = Ticket("read", 2, now_ms, objective_deadline_ms, ends_ms, owner)
-        decision = self.admission.offer(ticket, now_ms)
+        owner = (created_ms, retries)
+        ticket = Ticket("read", 2, now_ms, objective_deadline_ms, deadline_ms, owner)
+        decision = self.admission.admit(ticket, now_ms)
         if isinstance(decision, Refused):
-            self.returning.add(Attempt(request_key, first_attempt_ms, ends_ms))
+            self.returning.add(Attempt(request_key, first_attempt_ms, deadline_ms))
             self.refused(now_ms, owner, decision.retry_after_ms)
         elif decision:
             self.run(ticket, now_ms)
@@ -117,22 +117,22 @@
     def refused(
         self, now_ms: float, owner: tuple[float, int], retry_after_ms: float
     ) -> None:
-        born_ms, tries = owner
+        created_ms, retries = owner
         back_ms = now_ms + retry_after_ms * self.random.uniform(0.5, 1.5)
-        if tries >= 2 or back_ms > born_ms + self.DEADLINE_MS:
+        if retries >= 2 or back_ms > created_ms + self.DEADLINE_MS:
             self.outcomes["refused"] += 1
         else:
-            self.add(back_ms, (born_ms, tries + 1))
+            self.add(back_ms, (created_ms, retries + 1))
 
     def run(self, ticket: Ticket, now_ms: float) -> None:
         self.add(now_ms + self.random.gammavariate(2, self.RUN_MS / 2), ticket)
 
     def end(self, ticket: Ticket, now_ms: float) -> None:
-        born_ms, _ = ticket.owner  # type: ignore[misc]
-        late = now_ms - born_ms > self.OBJECTIVE_MS
+        created_ms, _ = ticket.owner  # type: ignore[misc]
+        late = now_ms - created_ms > self.OBJECTIVE_MS
         self.outcomes["late" if late else "in time"] += 1
         self.admission.learn("read", self.RUN_MS)
-        for started in freed(self.admission, ticket, now_ms):
+        for started in end_request(self.admission, ticket, now_ms):
             self.run(started, now_ms)
 
 
@@ -142,26 +142,26 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_more_answers_are_in_time_when_returning_callers_are_known(seed: int) -> None:
-    taken_for_new = Overload(remembers=False, seed=seed).play()
-    known = Overload(remembers=True, seed=seed).play()
-    print(taken_for_new, credit(taken_for_new), known, credit(known))
-    assert credit(known) > credit(taken_for_new) + 0.05
-    served = known["in time"] + known["late"]
-    assert served > 0.95 * (taken_for_new["in time"] + taken_for_new["late"])
+def test_more_answers_are_in_time_when_retries_are_recognised(seed: int) -> None:
+    unrecognised = Overload(recognises_retries=False, seed=seed).play()
+    recognised = Overload(recognises_retries=True, seed=seed).play()
+    print(unrecognised, credit(unrecognised), recognised, credit(recognised))
+    assert credit(recognised) > credit(unrecognised) + 0.05
+    served = recognised["in time"] + recognised["late"]
+    assert served > 0.95 * (unrecognised["in time"] + unrecognised["late"])
 
 
-async def test_only_attempts_that_came_before_count_as_returned(
+async def test_only_repeated_requests_count_as_retries(
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     asked: list[Attempt] = []
-    plain = CallContext.attempt
+    original = CallContext.attempt
 
-    def noting(self, exchange, caller) -> Attempt:  # type: ignore[no-untyped-def]
-        asked.append(plain(self, exchange, caller))
+    def recording(self, exchange, caller) -> Attempt:  # type: ignore[no-untyped-def]
+        asked.append(original(self, exchange, caller))
         return asked[-1]
 
-    monkeypatch.setattr(CallContext, "attempt", noting)
+    monkeypatch.setattr(CallContext, "attempt", recording)
     await mesh.get(mesh.instances[0], "/read/8", "n1", 900)
     for instance in mesh.instances:
         await instance.beat(mesh.session, "draining")
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("asked", [0, 1])
-async def test_a_stopping_node_answers_what_outlasts_it(
+async def test_requests_that_outlast_the_shutdown_are_answered(
     patient: MeshFleet, asked: int
 ) -> None:
     serving, stopping = patient.instances[0], patient.instances[asked]
@@ -100,7 +100,7 @@
     assert statuses.count(504) == serving.server.slots
 
 
-async def test_a_stopping_node_does_not_give_up_a_run_that_ends_in_time(
+async def test_a_run_that_ends_in_time_is_not_aborted(
     patient: MeshFleet,
 ) -> None:
     serving, stopping = patient.instances[:2]
@@ -112,7 +112,7 @@
     assert await asyncio.gather(*calls) == [200] * 3
 
 
-async def test_a_stop_elsewhere_does_not_speak_against_a_sound_server(
+async def test_the_shutdown_of_a_peer_is_no_failure_of_the_server(
     patient: MeshFleet,
 ) -> None:
     serving, stopping = patient.instances[:2]
@@ -126,7 +126,7 @@
     assert serving.node.inbound.health.failure_ratio == 0.0
 
 
-async def test_a_request_that_comes_to_a_stopping_node_gets_no_more_time_than_it_has(
+async def test_a_request_during_the_shutdown_has_time_until_the_drain_deadline(
     patient: MeshFleet,
 ) -> None:
     serving, stopping = patient.instances[:2]
@@ -136,7 +136,7 @@
     left_ms = float(serving.server.received[-1].headers["deadline-milliseconds"])
     plan = stopping.node.shutdown.plan
     assert plan is not None
-    assert left_ms <= plan.drain_deadline_ms - plan.since_ms
+    assert left_ms <= plan.drain_deadline_ms - plan.signalled_ms
 
 
 class FullTransport:
@@ -169,7 +169,7 @@
     return caller
 
 
-async def test_a_stopping_node_ends_after_its_answers_have_left(
+async def test_the_node_exits_after_its_answers_are_sent(
     mesh: MeshFleet,
 ) -> None:
     body = b"x" * 4_000_000
@@ -193,7 +193,7 @@
     assert len(received) > len(body)
 
 
-async def test_a_stopping_node_ends_after_its_answers_to_other_nodes_have_left(
+async def test_the_node_exits_after_its_answers_to_peers_are_sent(
     patient: MeshFleet,
 ) -> None:
     serving, asking = patient.instances[:2]
@@ -217,18 +217,18 @@
     await ended
 
 
-def learn_run_ms(instance: MeshInstance, run_ms: float) -> None:
+def set_mean_run_ms(instance: MeshInstance, run_ms: float) -> None:
     """Have a node know how long the reads of its server take."""
     for _ in range(60):
         instance.node.inbound.admission.learn("read", run_ms)
 
 
-async def test_what_waits_beside_a_stopping_node_goes_elsewhere_at_once(
+async def test_waiting_requests_are_retried_elsewhere_at_once(
     patient: MeshFleet,
 ) -> None:
     stopping, other, asking = patient.instances
     await only(patient, stopping)
-    learn_run_ms(stopping, 4500)
+    set_mean_run_ms(stopping, 4500)
     stopping.server.work_s = 4.5
     names = [f"q{index}" for index in range(8)]
     calls = [asyncio.create_task(read(patient, asking, name)) for name in names]
@@ -264,7 +264,7 @@
     )
 
 
-async def test_an_ended_node_says_what_it_left(
+async def test_calls_aborted_by_the_exit_are_logged(
     patient: MeshFleet, mesh_lines: MeshLines
 ) -> None:
     stopping = patient.instances[0]
@@ -280,11 +280,11 @@
     lines = mesh_lines.of(events.STOPPED.number, events.CALL_FAILED.number)
     cut = [line for line in lines if line["event"] == events.CALL_FAILED.number]
     assert [(line["id"], line["reason"]) for line in cut] == [("d1", "STOPPING")]
-    (told,) = (line for line in lines if line["event"] == events.STOPPED.number)
-    assert told["calls"] == 1
+    (stopped,) = (line for line in lines if line["event"] == events.STOPPED.number)
+    assert stopped["calls"] == 1
 
 
-async def test_a_node_that_has_ended_takes_no_run_that_it_would_cut(
+async def test_a_node_that_exits_refuses_new_runs(
     mesh: MeshFleet,
 ) -> None:
     serving, asking = mesh.instances[:2]
@@ -302,7 +302,7 @@
     assert serving.server.runs["late-1"] == 0
 
 
-async def test_connections_that_wait_as_a_stopping_node_closes_are_answered(
+async def test_connections_pending_when_the_listener_closes_are_answered(
     mesh: MeshFleet,
 ) -> None:
     stopping = mesh.instances[0]
@@ -325,7 +325,7 @@
     assert (await held)[0] == 200
 
 
-async def test_a_stopping_node_does_not_wait_until_its_news_have_left(
+async def test_the_exit_waits_for_unsent_outcomes_but_not_for_reports(
     mesh: MeshFleet,
 ) -> None:
     listener = mesh.instances[0].node.listener
@@ -337,7 +337,7 @@
     assert listener.busy
 
 
-class BusyUntilClosed:
+class ListenerWithPendingCallers:
     """A listener that callers reach while the event loop is about to close it."""
 
     def __init__(self, server: asyncio.Server, host: str) -> None:
@@ -356,7 +356,7 @@
         self.server.close()
 
 
-async def test_callers_that_wait_at_the_closing_listener_are_refused(
+async def test_connections_accepted_only_by_the_kernel_are_refused(
     mesh: MeshFleet,
 ) -> None:
     """A stopping node reset callers whose connections only the kernel had taken.
@@ -365,7 +365,7 @@
     each, 3 requests that were sent 2.30 to 2.36 s after SIGTERM had no answer.
     """
     instance = mesh.instances[0]
-    listener = BusyUntilClosed(instance.node._servers[0], instance.host)
+    listener = ListenerWithPendingCallers(instance.node._servers[0], instance.host)
     instance.node._servers[0] = listener  # type: ignore[call-overload]
     await stop(instance)
     answers = []
--- a/tests/test_mesh_stopping_uploads.py
+++ b/tests/test_mesh_stopping_uploads.py
@@ -84,49 +84,56 @@
     return Stage(mesh, serving, asked)
 
 
-async def nothing_else(stage: Stage) -> None:
+async def do_nothing(stage: Stage) -> None:
     """Let the stop be all that happens."""
 
 
-async def second_signal(stage: Stage) -> None:
+async def send_second_signal(stage: Stage) -> None:
     stage.asked.node.stop()
 
 
-async def new_version(stage: Stage) -> None:
+async def publish_version(stage: Stage) -> None:
     stage.asked.node.reload()
     content = document(9, routes=long_routes())
     stage.mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, content)
 
 
-async def link_reset(stage: Stage) -> None:
+async def reset_link(stage: Stage) -> None:
     await asyncio.sleep(0.9)
     for server in list(stage.serving.node.listener.servers):
         server.abort()
 
 
-async def link_silent(stage: Stage) -> None:
+async def silence_link(stage: Stage) -> None:
     await asyncio.sleep(0.9)
     silence(stage.serving)
 
 
-async def both_stop(stage: Stage) -> None:
+async def stop_both(stage: Stage) -> None:
     await stop(stage.serving)
 
 
 @pytest.mark.parametrize(
-    "beside",
-    [nothing_else, second_signal, new_version, link_reset, link_silent, both_stop],
+    "concurrent_event",
+    [
+        do_nothing,
+        send_second_signal,
+        publish_version,
+        reset_link,
+        silence_link,
+        stop_both,
+    ],
 )
-async def test_uploads_before_a_stop_are_all_answered(
-    stage: Stage, beside: Callable[[Stage], Awaitable[None]]
+async def test_uploads_before_a_shutdown_are_all_answered(
+    stage: Stage, concurrent_event: Callable[[Stage], Awaitable[None]]
 ) -> None:
     calls = [asyncio.create_task(stage.upload(name)) for name in NAMES]
     await asyncio.sleep(0.1)
-    await asyncio.gather(stop(stage.asked), beside(stage))
+    await asyncio.gather(stop(stage.asked), concurrent_event(stage))
     stage.check(await asyncio.gather(*calls))
 
 
-async def test_uploads_at_the_node_beside_the_server_are_all_answered(
+async def test_uploads_at_the_node_of_the_server_are_all_answered(
     stage: Stage,
 ) -> None:
     stage = attrs.evolve(stage, asked=stage.serving)
@@ -136,7 +143,7 @@
     stage.check(await asyncio.gather(*calls))
 
 
-async def test_uploads_that_come_during_a_stop_are_all_answered(stage: Stage) -> None:
+async def test_uploads_during_a_shutdown_are_all_answered(stage: Stage) -> None:
     ended = asyncio.create_task(stop(stage.asked))
     calls = []
     for name in NAMES:
--- a/tests/test_mesh_uploads.py
+++ b/tests/test_mesh_uploads.py
@@ -15,10 +15,10 @@
 BODY = b"u" * (BULK_BYTES * 4)
 
 
-class Fetch:
+class FakeTransfer:
     """A request that waits for its body."""
 
-    def ask_for_body(self) -> None:
+    def request_body(self) -> None:
         raise AssertionError("whoever gives the turn asks, not what keeps the order")
 
 
@@ -27,36 +27,38 @@
     return BodyTransfers()
 
 
-def test_only_a_few_bodies_are_fetched_at_once(transfers: BodyTransfers) -> None:
-    fetches = [Fetch() for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
-    assert [transfers.begin(one) for one in fetches] == [
+def test_concurrent_transfers_are_limited(transfers: BodyTransfers) -> None:
+    requests = [FakeTransfer() for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
+    assert [transfers.begin(one) for one in requests] == [
         True
     ] * MAX_CONCURRENT_TRANSFERS + [False] * 2
     assert transfers.start_next() is None
-    transfers.end(fetches[0])
-    assert transfers.start_next() is fetches[MAX_CONCURRENT_TRANSFERS]
+    transfers.end(requests[0])
+    assert transfers.start_next() is requests[MAX_CONCURRENT_TRANSFERS]
     assert transfers.start_next() is None
 
 
-def test_who_gives_up_while_it_waits_is_not_asked(transfers: BodyTransfers) -> None:
-    fetches = [Fetch() for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
-    for one in fetches:
+def test_a_transfer_that_ended_while_it_waited_does_not_begin(
+    transfers: BodyTransfers,
+) -> None:
+    requests = [FakeTransfer() for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
+    for one in requests:
         transfers.begin(one)
-    transfers.end(fetches[MAX_CONCURRENT_TRANSFERS])
-    transfers.end(fetches[0])
-    assert transfers.start_next() is fetches[MAX_CONCURRENT_TRANSFERS + 1]
+    transfers.end(requests[MAX_CONCURRENT_TRANSFERS])
+    transfers.end(requests[0])
+    assert transfers.start_next() is requests[MAX_CONCURRENT_TRANSFERS + 1]
     assert transfers.start_next() is None
 
 
-def test_nobody_overtakes_those_that_wait_for_a_free_place(
+def test_a_new_transfer_does_not_overtake_waiting_ones(
     transfers: BodyTransfers,
 ) -> None:
-    fetches = [Fetch() for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
-    for one in fetches[:-1]:
+    requests = [FakeTransfer() for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
+    for one in requests[:-1]:
         transfers.begin(one)
-    transfers.end(fetches[0])
-    assert not transfers.begin(fetches[-1])
-    assert transfers.start_next() is fetches[MAX_CONCURRENT_TRANSFERS]
+    transfers.end(requests[0])
+    assert not transfers.begin(requests[-1])
+    assert transfers.start_next() is requests[MAX_CONCURRENT_TRANSFERS]
 
 
 async def upload(mesh: MeshFleet, instance: MeshInstance, name: str) -> int:
@@ -67,7 +69,9 @@
         return answer.status
 
 
-async def test_uploads_arrive_whole_and_once_on_every_way(mesh: MeshFleet) -> None:
+async def test_uploads_arrive_whole_and_once_through_every_node(
+    mesh: MeshFleet,
+) -> None:
     names = [f"u{index}" for index in range(18)]
     statuses = await asyncio.gather(
         *(
@@ -85,19 +89,19 @@
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sent: list[int] = []
-    plain = PeerConnection.send
+    original = PeerConnection.send
 
     def counting(self: PeerConnection, kind: Kind, *fields: object) -> None:
         if kind in (Kind.REQUEST, Kind.BODY):
             sent.append(sum(len(one) for one in fields if isinstance(one, bytes)))
-        plain(self, kind, *fields)
+        original(self, kind, *fields)
 
     monkeypatch.setattr(PeerConnection, "send", counting)
     asked = mesh.instances[0]
     await asked.beat(mesh.session, "draining")
     for instance in mesh.instances[1:]:
         instance.node.inbound.unreachable = True
-        instance.node.inbound._next_try_ms = math.inf
+        instance.node.inbound._next_reconnect_ms = math.inf
     assert await upload(mesh, asked, "refused") == 503
     assert sum(sent) < BULK_BYTES
     for instance in mesh.instances[1:]:
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -64,7 +64,7 @@
 from azurestep.mesh import messages as mesh
 from azurestep.mesh import settings as mesh_settings
 from azurestep.mesh.backend import crashes
-from azurestep.mesh.backend.request_bytes import first_bytes
+from azurestep.mesh.backend.request_bytes import encode_request
 from azurestep.mesh.callers import own_answers
 from azurestep.mesh.callers.record import CallRecord
 from azurestep.mesh.decisions.returning import Attempt
@@ -779,7 +779,7 @@
 
 
 def test_request_to_a_backend_server_of_the_platform() -> None:
-    check("first_bytes", first_bytes(REQUEST, b"\xffbody", False, 900.5))
+    check("first_bytes", encode_request(REQUEST, b"\xffbody", False, 900.5))
 
 
 def sample_call() -> Call:
