--- a/azurestep/mesh/decisions/__init__.py
+++ b/azurestep/mesh/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided under load: placement, admission, shedding, retries, health. Pure."""
+"""Decisions under load: placement, admission, shedding, retries, health. Pure."""
--- a/azurestep/mesh/decisions/admission.py
+++ b/azurestep/mesh/decisions/admission.py
@@ -1,7 +1,7 @@
-"""Which request runs next at a backend server, which waits and which is refused.
+"""Admission control for one backend server: a request runs, waits or is refused.
 
-Pure: times go in, decisions come out. The node beside a backend server is the
-only sender, so it counts the slots in use itself.
+Pure: times go in, decisions come out. The local node is the only sender to its backend
+server, so it counts the occupied slots itself.
 """
 
 import math
@@ -9,24 +9,23 @@
 import attrs
 
 INITIAL_RUN_MS = 150.0
-"""Run time assumed for a route that no node has seen an answer of yet; near the mean
-of the workloads that were measured (16 to 360 ms)."""
+"""Run time assumed for a route before its first sample."""
 RUN_MEAN_WEIGHT = 0.1
-"""Weight of a new run time in the moving mean: about the last twenty runs."""
+"""Weight of a new sample in the moving mean."""
 MIN_RETRY_AFTER_MS = 40.0
-"""Shortest time after which a refused caller is asked to come back."""
+"""Shortest time after which a refused caller is asked to retry."""
 
 
 @attrs.define(slots=True, eq=False)
 class Ticket:
-    """One request that asks for a slot.
+    """A request that waits for a slot or holds one.
 
     Attributes
     ----------
     objective_deadline_ms : float
-        When an answer loses its full value.
+        When the answer loses its full value.
     deadline_ms : float
-        When nobody waits for an answer any more.
+        When the caller gives up.
     """
 
     route: str
@@ -39,7 +38,7 @@
 
 @attrs.frozen(slots=True)
 class Refused:
-    """A request gets no slot in time."""
+    """The request can't get a slot in time."""
 
     retry_after_ms: float
 
@@ -51,11 +50,11 @@
     Attributes
     ----------
     slots : int
-        Requests that the backend server runs at once.
+        Requests that the backend server runs concurrently.
     running : set of Ticket
         Requests that hold a slot.
     drain_deadline_ms : float
-        When the node beside the backend server ends; a time only once it is stopping.
+        When all runs must have ended; infinite unless the node is shutting down.
     """
 
     slots: int = 1
@@ -67,7 +66,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that run or wait."""
+        """Number of requests that run or wait."""
         return len(self.running) + len(self._waiting)
 
     @property
@@ -76,7 +75,10 @@
         return list(self._waiting)
 
     def mean_run_ms(self, route: str) -> float:
-        """Return the mean run time of a route's requests, here or as usual."""
+        """Return the mean run time of a route's requests.
+
+        Without local samples this is the mean over all backend servers, or a default.
+        """
         known = self._mean_run_ms.get(route)
         return (
             self._fleet_mean_run_ms.get(route, INITIAL_RUN_MS)
@@ -85,11 +87,11 @@
         )
 
     def set_fleet_mean(self, route: str, mean_run_ms: float) -> None:
-        """Learn how long a route's requests take at other backend servers."""
+        """Set a route's mean run time over all backend servers."""
         self._fleet_mean_run_ms[route] = mean_run_ms
 
     def learn(self, route: str, run_ms: float) -> None:
-        """Take the run time of one request in."""
+        """Add the run time of one request to its route's mean."""
         known = self._mean_run_ms.get(route)
         if known is None:
             self._mean_run_ms[route] = run_ms
@@ -97,17 +99,14 @@
             self._mean_run_ms[route] = known + RUN_MEAN_WEIGHT * (run_ms - known)
 
     def forget(self) -> None:
-        """Forget the run times; another incarnation serves."""
+        """Clear the run times, which belong to an earlier incarnation."""
         self._mean_run_ms.clear()
 
     def admit(self, ticket: Ticket, now_ms: float) -> bool | Refused:
-        """Decide on a new request.
+        """Decide whether a new request runs, waits or is refused.
 
-        One that could only be late runs if a slot is free, and is refused at once if
-        not. Kept waiting behind what can be in time, most of such requests were
-        refused in the end, near their deadline: with a quarter of the slots for them,
-        a day of high load was worth 0.57 for 0.58, 0.47 for 0.49 and 0.11 for 0.15 at
-        three deployments' hardest days.
+        A request that can't meet its objective runs if a slot is free and is refused
+        otherwise: in the queue it would mostly be refused shortly before its deadline.
 
         Returns
         -------
@@ -127,13 +126,13 @@
         return False
 
     def remove(self, ticket: Ticket) -> None:
-        """Forget a request that ended, whether it ran or waited."""
+        """Remove a request that ended, whether it ran or waited."""
         self.running.discard(ticket)
         if ticket in self._waiting:
             self._waiting.remove(ticket)
 
     def start_next(self, now_ms: float) -> Ticket | None:
-        """Give a free slot to the request that goes first, and return that."""
+        """Give a free slot to the first request in the queue and return it."""
         if not self._waiting or len(self.running) >= self.slots:
             return None
         chosen = min(self._waiting, key=lambda item: self._rank(item, now_ms))
@@ -142,12 +141,10 @@
         return chosen
 
     def find_late(self, now_ms: float) -> list[Ticket]:
-        """Return the waiting requests that can't be answered in time.
+        """Return the waiting requests that can't end in time.
 
-        Beside a stopping node these are also the ones whose turn comes too late: other
-        nodes may serve them. Kept, four reads that could be answered elsewhere at once
-        waited for the 5.6 s of the node's end, and had their runs cut by it. Who leaves
-        is no work ahead of those that stay.
+        During a shutdown the work ahead of a request counts too, so that another node
+        can serve it at once. Work of requests that are returned doesn't count.
         """
         if self.drain_deadline_ms == math.inf:
             return [
@@ -163,15 +160,15 @@
         return late
 
     def run_deadline_ms(self, ticket: Ticket) -> float:
-        """Return when a run must have ended, for its caller and for the node here."""
+        """Return when a run must end: its deadline or that of the shutdown."""
         return min(ticket.deadline_ms, self.drain_deadline_ms)
 
     def can_end_in_time(self, ticket: Ticket, now_ms: float) -> bool:
-        """Whether a request that runs from now on is likely to end when it must."""
+        """Whether a request that starts now is likely to end before its deadline."""
         return now_ms + self.mean_run_ms(ticket.route) <= self.run_deadline_ms(ticket)
 
     def estimate_retry_after_ms(self) -> float:
-        """Return after which time a slot is likely for a caller who comes back."""
+        """Return the time after which a slot is likely to be free."""
         work_ms = sum(self.mean_run_ms(ticket.route) for ticket in self._waiting)
         return MIN_RETRY_AFTER_MS + work_ms / self.slots
 
@@ -182,17 +179,16 @@
         return self._estimate_wait_ms(sum(self.mean_run_ms(one.route) for one in ahead))
 
     def _estimate_wait_ms(self, ahead_ms: float) -> float:
-        """Return how long a request waits with so much work ahead of it."""
+        """Return how long a request waits behind queued work of a given length."""
         running_ms = sum(self.mean_run_ms(other.route) for other in self.running)
         return (ahead_ms + running_ms / max(1, len(self.running))) / self.slots
 
     def _rank(self, ticket: Ticket, now_ms: float) -> tuple[bool, int, float]:
-        """Order the queue: what meets its objective, the urgent, the earlier due.
+        """Return the sort key of a waiting request.
 
-        Calls of backend servers have the shortest objectives. They go before longer
-        requests of their class, since a call that fails wastes the run that made it:
-        59% of a service's runs ended badly while its calls stood in line. What is
-        late goes last: when it kept its place, a hard day's credit was 0.55, not 0.69.
+        Requests that can meet their objective go first, then the more urgent priority,
+        then the earlier objective. Calls of backend servers have the shortest ones: a
+        call that fails wastes the run that made it.
         """
         late = now_ms + self.mean_run_ms(ticket.route) > ticket.objective_deadline_ms
         return late, ticket.priority, ticket.objective_deadline_ms
--- a/azurestep/mesh/decisions/cadence.py
+++ b/azurestep/mesh/decisions/cadence.py
@@ -1,24 +1,20 @@
-"""How often nodes tell one another things, by how many there are. Pure.
+"""Intervals between probes and load reports, by the number of nodes. Pure.
 
-Every node links with every other one, so what each tells all others at a fixed pace
-grows with the square of the fleet: at 71 nodes of 0.43 core, probes and load reports
-alone kept the processors busy and cost 0.55 to 0.91 of a day's worth for the bytes
-between data centres. So each node has a rate for each kind of news, shared by its
-links, down to the pace that small fleets have.
+Every node is linked to every other one, so at fixed intervals the traffic grows with
+the square of the fleet. Each node therefore has a total rate, shared by its links.
 """
 
 import attrs
 
 IDLE_PROBES_PER_S = 30.0
-"""Probes of idle links that a node sends: the pace of 0.4 s at 12 links."""
+"""Probes that a node sends on all its idle links together."""
 MIN_IDLE_PROBE_INTERVAL_MS = 400.0
-"""Shortest time between two probes of an idle link."""
 LOCAL_REPORTS_PER_S = 80.0
-"""Load reports to the nodes of the own data centre, where most requests stay."""
+"""Load reports to all nodes of the local data centre together."""
 REMOTE_REPORTS_PER_S = 20.0
-"""Load reports to other data centres; these bytes are priced."""
+"""Load reports to remote data centres together; this traffic is charged."""
 MIN_REPORT_INTERVAL_MS = 200.0
-"""Shortest time between two load reports; a look at the load comes each 0.2 s."""
+"""The interval at which the load is sampled."""
 
 
 def idle_probe_interval_ms(links: int) -> float:
@@ -33,18 +29,18 @@
 
 
 def report_interval_ms(links: int, per_s: float) -> float:
-    """Return the time between two load reports to each of so many nodes."""
+    """Return the time between two load reports to each of ``links`` nodes."""
     return max(MIN_REPORT_INTERVAL_MS, links * 1000 / per_s)
 
 
 @attrs.define(slots=True)
 class ReportPacer:
-    """When load reports to a group of nodes are due.
+    """Limits the rate of load reports to a group of nodes.
 
     Attributes
     ----------
     per_s : float
-        Reports that a node sends to all of them together.
+        Reports to all nodes of the group together.
     """
 
     per_s: float
@@ -52,7 +48,7 @@
     _last_report_ms: float = float("-inf")
 
     def is_due(self, report: bytes, links: int, now_ms: float) -> bool:
-        """Whether a report is news and its time has come; it then counts as sent."""
+        """Whether a report has changed and may be sent; it then counts as sent."""
         if report == self._last_report:
             return False
         if now_ms - self._last_report_ms < report_interval_ms(links, self.per_s):
@@ -61,6 +57,6 @@
         return True
 
     def mark_sent(self, report: bytes, now_ms: float) -> None:
-        """Note that a report was sent out of turn."""
+        """Record that a report was sent."""
         self._last_report = report
         self._last_report_ms = now_ms
--- a/azurestep/mesh/decisions/choice.py
+++ b/azurestep/mesh/decisions/choice.py
@@ -1,4 +1,4 @@
-"""Which backend server a request goes to. Pure."""
+"""Selection of the backend server for a request. Pure."""
 
 from collections.abc import Iterable
 from random import Random
@@ -8,54 +8,57 @@
 from ..incarnation import Incarnation
 
 INITIAL_RUN_MS = 150.0
-"""Run time assumed for a route while no answer was seen; near the mean of the
-workloads that were measured."""
+"""Run time assumed for a route before its first answer."""
 RUN_MEAN_WEIGHT = 0.1
-"""Weight of a new run time in the mean over all backend servers."""
+"""Weight of a new sample in the mean over all backend servers."""
 MAX_UNSAMPLED = 8
-"""Backend servers above which only some are weighed for one request: with 71 nodes,
-load is told too seldom for a choice of the best of all."""
+"""Number of backend servers up to which all are compared.
+
+Load reports are rarer in larger fleets; there, nodes that compared all servers would
+choose the same one.
+"""
 LOCAL_SAMPLE = 4
 REMOTE_SAMPLE = 2
-"""Candidates in the own data centre and outside it: where load news is older, fewer."""
+"""Candidates in the local data centre and in remote ones, above ``MAX_UNSAMPLED``."""
 OBJECTIVE_STEEPNESS = 3
 """How fast the value of an answer falls as its time nears the objective."""
 REMOTE_PENALTY_PER_KIB = 0.014
-"""Value lost for each KiB that crosses data centres: a read of 1.7 KiB costs some
-0.024 of its worth, an upload of 60 KiB some 0.84, where the operators pay 14,000
-times a read's worth for a GB."""
+"""Value lost for each KiB between data centres, where traffic is charged."""
 LOAD_PENALTY = 0.1
-"""Value lost at a full backend server, growing with the square of its load; it
-spreads load where times are equal."""
+"""Value lost at a full backend server, proportional to the square of its load.
+
+It spreads the load where run times are equal.
+"""
 COLD_RUN_FACTOR = 2.0
-"""How much slower a backend server is while it is cold."""
+"""How much slower a backend server is during its cold start."""
 FAILURE_PENALTY = 1.0
-"""Value lost at a backend server all of whose runs fail: all that an answer is
-worth, since a failed run is lost or costs a retry and its time."""
+"""Value lost at a backend server all of whose runs fail: that of an answer."""
 MAX_TIE_BREAK = 0.01
-"""Random part that keeps nodes with the same news from choosing the same one."""
+"""Random part of a value, so that nodes with the same reports choose differently."""
 
 
 @attrs.define(slots=True, eq=False)
 class Endpoint:
-    """A backend server, as this node sees it.
+    """A backend server as known to this node.
 
     Attributes
     ----------
     open : bool
         Whether it takes new requests.
     in_flight : int
-        Requests that ran or waited there when its node last told.
+        Requests that ran or waited there at the last report of its node.
     own_in_flight, own_in_flight_at_report : int
-        This node's requests there now, and when that was told.
+        Requests of this node there, now and at that report.
+    mean_run_ms : dict
+        Mean run time there by route, as reported with answers.
     cold_until_ms : float
-        Until when it is slow after its start.
+        When its cold start ends.
     failed_until_ms : float
-        Until when it is chosen only without another.
+        Until when it is only a last resort, after a failure.
     failure_ratio : float
-        Share of its runs that failed of late, from 0 to 1.
+        Ratio of its recent runs that failed, from 0 to 1.
     unresponsive : bool
-        Whether its node owes an answer to a probe; the same holds.
+        Whether its node owes an answer to a probe; it is then only a last resort.
     """
 
     key: object
@@ -75,28 +78,28 @@
 
     @property
     def load(self) -> float:
-        """Requests that are likely to run or wait there now."""
+        """Estimate of the requests that run or wait there now."""
         return max(
             self.own_in_flight,
             self.in_flight - self.own_in_flight_at_report + self.own_in_flight,
         )
 
     def update_load(self, in_flight: int) -> None:
-        """Take news of the requests there in."""
+        """Apply a report of the requests in flight there."""
         self.in_flight = in_flight
         self.own_in_flight_at_report = self.own_in_flight
 
 
 @attrs.frozen(slots=True)
 class SelectionCriteria:
-    """What is asked of a backend server.
+    """What the backend server of a request is selected by.
 
     Attributes
     ----------
     objective_ms : float
         Time left until the answer loses value.
     mean_run_ms : float
-        Run time of this route at backend servers that did not tell theirs.
+        Run time of this route at backend servers that reported none.
     size_kib : float
         Bytes that would cross between data centres, in KiB.
     data_centre : str
@@ -113,11 +116,10 @@
 
 @attrs.define(slots=True)
 class MeanRunTimes:
-    """Mean run time of each route over all backend servers, as far as answers tell.
+    """Mean run time of each route over all backend servers.
 
-    A backend server that was not asked yet counts as usual: with a fixed first guess
-    below the true time, each node preferred all servers it had not tried, which on 37
-    of them took it abroad for 37% of the reads of a quiet day.
+    Assumed for backend servers without answers so far. A guess below the true time
+    would make nodes prefer such servers, even in remote data centres.
 
     Examples
     --------
@@ -132,7 +134,7 @@
     _mean_ms: dict[str, float] = attrs.field(factory=dict)
 
     def get(self, route: str) -> float:
-        """Return the mean of a route."""
+        """Return the mean of a route, or a default before the first answer."""
         return self._mean_ms.get(route, INITIAL_RUN_MS)
 
     def get_or_zero(self, route: str) -> float:
@@ -140,7 +142,7 @@
         return self._mean_ms.get(route, 0.0)
 
     def learn(self, route: str, run_ms: float) -> None:
-        """Take the run time that a backend server told in."""
+        """Add the run time that was reported with an answer."""
         known = self._mean_ms.get(route, run_ms)
         self._mean_ms[route] = known + RUN_MEAN_WEIGHT * (run_ms - known)
 
@@ -169,10 +171,7 @@
 def _sample_candidates(
     endpoints: list[Endpoint], data_centre: str, random: Random
 ) -> list[Endpoint]:
-    """Return the candidates: all of a few, some of many.
-
-    Many nodes that choose the best of the same old news all choose the same one.
-    """
+    """Return all endpoints if they are few, or a random sample of them."""
     if len(endpoints) <= MAX_UNSAMPLED:
         return endpoints
     local = [one for one in endpoints if one.data_centre == data_centre]
--- a/azurestep/mesh/decisions/health.py
+++ b/azurestep/mesh/decisions/health.py
@@ -1,25 +1,23 @@
-"""How well a backend server does, from what its runs came to.
+"""Failure ratio of a backend server, from the outcomes of its runs. Pure.
 
-Health probes may say well of a server that fails every request, and ill of one
-that serves. So the node beside a backend server counts the runs that failed, with
-a short memory, and tells all nodes the ratio; they go by it when they choose. The
-counts fade, so that a server which is avoided is tried again after some 3 s. Pure.
+Health probes may succeed at a server that fails every request, and fail at one that
+serves. So the local node counts failed runs and reports their ratio to all nodes, which
+avoid the server. The counts decay, so that it is tried again after some seconds.
 """
 
 import attrs
 
 TICK_DECAY = 0.9
-"""Part of the counts that is kept at each tick of 0.1 s: a memory of one second. A
-server that failed all of 15 requests a second is told as half failing 2 s later."""
+"""Factor of the counts at each tick of 0.1 s."""
 PRIOR_SUCCESSES = 2.0
-"""Good runs that are assumed, so that one failure doesn't close a quiet server."""
+"""Successful runs assumed, so that one failure doesn't close a quiet server."""
 REPORT_STEP = 0.1
-"""Steps in which the ratio is told, so that small changes cost no messages."""
+"""The ratio is rounded to this, so that small changes cause no messages."""
 
 
 @attrs.define(slots=True)
 class Health:
-    """Runs at a backend server, and those that failed, with a fading memory.
+    """Decaying counts of a backend server's runs and failures.
 
     Examples
     --------
@@ -40,16 +38,16 @@
             self._failures += 1.0
 
     def tick(self) -> None:
-        """Let 0.1 s pass."""
+        """Apply the decay of 0.1 s."""
         self._runs *= TICK_DECAY
         self._failures *= TICK_DECAY
 
     def clear(self) -> None:
-        """Forget the runs; another incarnation serves."""
+        """Clear the counts, which belong to an earlier incarnation."""
         self._runs = self._failures = 0.0
 
     @property
     def failure_ratio(self) -> float:
-        """Share of the runs that fail, from 0 to 1, in steps."""
+        """Ratio of the runs that fail, from 0 to 1, rounded."""
         ratio = self._failures / (self._runs + PRIOR_SUCCESSES)
         return round(round(ratio / REPORT_STEP) * REPORT_STEP, 2)
--- a/azurestep/mesh/decisions/pressure.py
+++ b/azurestep/mesh/decisions/pressure.py
@@ -1,13 +1,12 @@
-"""Shedding at the first node what would overload a service behind the next one.
+"""Load shedding at the first node on behalf of the services that a request calls. Pure.
 
-A backend server's run may call another service. When that service is short of
-room, refusing its calls wastes the runs that made them, and serving them all
-leaves none for its other callers. So nodes tell which share of each route's
-requests they had to refuse, and refuse the same share of the less urgent requests
-whose runs call that service, before they run.
+A backend server's run may call another service. If that service is overloaded, refusing
+its calls wastes the runs that made them, and serving them all starves its other
+callers. So nodes report which ratio of each route's requests they refuse, and refuse
+the same ratio of the less urgent requests to the calling service before these run.
 
-Which routes are calls is learned beside the backend server: callers send from all
-instances, a backend server's calls come from instances of its own service. Pure.
+The local node of the called server detects such routes: their requests come from
+instances of a single service, while those of callers come from all instances.
 """
 
 from collections.abc import Iterable, Iterator
@@ -15,32 +14,31 @@
 import attrs
 
 MIN_ROUTE_REQUESTS = 60
-"""Requests of a route that are looked at before it counts as calls: with callers
-spread over three services, 60 from one service come by chance once in 3^59."""
+"""Requests of a route that are counted before it can be taken for calls."""
 MIN_CALLER_RATIO = 0.95
-"""Share of a route's requests that come from one service if they are its calls; an
-instance that changes its service mislabels a few."""
+"""Ratio of a route's requests that must come from the calling service.
+
+Below 1, since an instance that changes its service mislabels some requests.
+"""
 MAX_ROUTE_REQUESTS = 600
-"""Requests after which the older half is forgotten."""
+"""Count of requests at which all counts of a route are halved."""
 TICK_DECAY = 0.95
-"""Part of the counts that is kept at each tick of 0.1 s: a memory of two seconds."""
+"""Factor of the counts at each tick of 0.1 s."""
 MIN_RECENT_REQUESTS = 4.0
-"""Requests in that memory below which no share is told."""
+"""Decayed count of requests below which no ratio is reported."""
 MAX_SHED_RATIO = 0.5
-"""Largest share that is shed. Without a limit, a called service far short of room
-left 0.22 of all requests served in the seconds after a restart of the fleet, below
-the quarter that is the least; with it the same seed kept that bound."""
+"""Keeps part of the requests served if a called service has no capacity at all."""
 REPORT_STEP = 0.05
-"""Steps in which shares are told, so that small changes cost no messages."""
+"""Ratios are rounded to this, so that small changes cause no messages."""
 
 CallingService = tuple[str, int]
-"""A service whose runs call the one beside the node, and its calls' priority."""
+"""A service that calls the local one, and the priority of its calls."""
 RefusalRatio = tuple[str, int, float]
-"""Service, priority, and the share of a route's requests that was refused."""
+"""Service, priority, and the ratio of a route's requests that was refused."""
 
 
 class CallerDetector:
-    """Learns which services call the one beside this node."""
+    """Detects which services call the local backend server."""
 
     def __init__(self) -> None:
         self._origins: dict[str, dict[bytes, int]] = {}
@@ -63,13 +61,13 @@
             self._origins[route] = {k: count for k, count in halves.items() if count}
 
     def callers(self) -> tuple[CallingService, ...]:
-        """Return the services that call, each with its calls' priority."""
+        """Return the calling services, each with the priority of its calls."""
         return tuple(sorted(set(self._callers.values())))
 
 
 @attrs.define(slots=True)
 class RecentCounts:
-    """Requests of a route with a fading memory."""
+    """Decaying counts of a route's requests."""
 
     service: str
     priority: int
@@ -77,44 +75,44 @@
     refused: float = 0.0
 
     def decay(self) -> None:
-        """Let a tick pass."""
+        """Apply the decay of one tick."""
         self.offered *= TICK_DECAY
         self.refused *= TICK_DECAY
 
     @property
     def ratio(self) -> float:
-        """Share that was refused, in steps."""
+        """Ratio that was refused, rounded."""
         if self.offered < MIN_RECENT_REQUESTS:
             return 0.0
         return round(round(self.refused / self.offered / REPORT_STEP) * REPORT_STEP, 2)
 
 
 class RefusalMeter:
-    """Counts which share of each route's requests this node refuses."""
+    """Measures which ratio of each route's requests this node refuses."""
 
     def __init__(self) -> None:
         self._counts: dict[str, RecentCounts] = {}
 
     def record_offered(self, route: str, service: str, priority: int) -> None:
-        """Count a request that is sent to a service."""
+        """Count a request for a service."""
         counts = self._counts.get(route)
         if counts is None or counts.service != service:
             counts = self._counts[route] = RecentCounts(service, priority)
         counts.offered += 1
 
     def record_refused(self, route: str) -> None:
-        """Count a request for which no backend server had room."""
+        """Count a request for which no backend server had capacity."""
         counts = self._counts.get(route)
         if counts is not None:
             counts.refused += 1
 
     def tick(self) -> None:
-        """Let 0.1 s pass."""
+        """Apply the decay of 0.1 s."""
         for counts in self._counts.values():
             counts.decay()
 
     def report(self) -> tuple[RefusalRatio, ...]:
-        """Return the shares that other nodes should know."""
+        """Return the ratios above zero, for the other nodes."""
         return tuple(
             (counts.service, counts.priority, counts.ratio)
             for _, counts in sorted(self._counts.items())
@@ -124,7 +122,7 @@
 
 @attrs.frozen(slots=True)
 class PressureReport:
-    """What one node says: its service, who calls it, what the node refuses."""
+    """Service of one node, the services that call it, and what the node refuses."""
 
     service: str
     callers: tuple[CallingService, ...]
@@ -132,7 +130,7 @@
 
 
 class LoadShedder:
-    """What a node sheds, by the reports of all nodes.
+    """Ratios of requests to refuse, from the reports of all nodes.
 
     Examples
     --------
@@ -151,7 +149,7 @@
         self._ratios: dict[str, list[tuple[int, float]]] = {}
 
     def update(self, reports: Iterable[PressureReport]) -> None:
-        """Take the newest reports of all nodes."""
+        """Replace the reports by the latest ones of all nodes."""
         known = list(reports)
         means: dict[tuple[str, int], float] = {}
         for report in known:
@@ -172,7 +170,7 @@
                 self._ratios.setdefault(caller, []).append((call_priority, ratio))
 
     def shed_ratio(self, service: str, priority: int) -> float:
-        """Return the share of a service's requests of a priority to refuse."""
+        """Return the ratio of a service's requests of a priority to refuse."""
         edges = self._ratios.get(service)
         if not edges:
             return 0.0
--- a/azurestep/mesh/decisions/retry_budget.py
+++ b/azurestep/mesh/decisions/retry_budget.py
@@ -1,15 +1,17 @@
-"""How often a node may send a request to a second backend server.
+"""Retry budget: how often nodes may send a request to a second backend server. Pure.
 
-The bound is a sum over all nodes: a share of a service's requests plus a fixed
-number in each window. Each node takes an equal part of the fixed number and the
-share of its own requests, so the sum holds without any agreement.
+The budget holds for all nodes together: a ratio of a service's requests and a fixed
+number in each window. Each node uses an equal part of the number and the ratio of its
+own requests, so that no agreement is needed.
 """
 
 import attrs
 
 USED_RETRY_RATIO = 0.5
-"""Part of the allowed ratio that is used: calls made by repeated runs count at
-the services they reach, so half is kept for them."""
+"""Part of the allowed ratio that is used.
+
+Calls made by retried runs count at the services they reach; the rest is left for them.
+"""
 USED_EXTRA_RATIO = 0.5
 """Part of the fixed number that is used, for the same reason."""
 
@@ -21,11 +23,11 @@
     Attributes
     ----------
     ratio, extra : float
-        Bounds over all nodes in a window.
+        Limits for all nodes together in a window.
     window_ms : float
         Length of the window.
     members : int
-        Live nodes.
+        Number of live nodes.
 
     Examples
     --------
@@ -42,13 +44,13 @@
     _refilled_ms: dict[str, float] = attrs.field(factory=dict)
 
     def earn(self, service: str) -> None:
-        """Count a request for a service."""
+        """Add the tokens that a request for a service earns."""
         max_tokens = self._max_tokens()
         tokens = self._tokens.get(service, max_tokens)
         self._tokens[service] = min(max_tokens, tokens + self.ratio * USED_RETRY_RATIO)
 
     def spend(self, service: str, now_ms: float) -> bool:
-        """Whether a request may be repeated now; the repeat is counted."""
+        """Whether a retry is allowed now; it then spends a token."""
         max_tokens = self._max_tokens()
         since_ms = now_ms - self._refilled_ms.get(service, now_ms)
         self._refilled_ms[service] = now_ms
--- a/azurestep/mesh/decisions/returning.py
+++ b/azurestep/mesh/decisions/returning.py
@@ -1,24 +1,21 @@
-"""How long ago a caller that comes back first asked. Pure.
+"""Recognition of client retries, whose objective counts from the first attempt. Pure.
 
-Load pattern: more load than the servers carry. Callers that were refused come back, and
-their objective counts from their first attempt. Taken for new, attempts that could
-only be late pushed fresh ones over their objective too: of 44,000 reads of a day of
-high load 12,000 were late and 22,000 in time.
+Callers that were refused retry. Treated as new requests, late retries would push other
+requests past their objectives too.
 
-A caller's deadline stays where it is in time when it asks again, so an attempt is told
-by its key and that moment. Nothing is assumed of how long callers wait. An attempt
-that comes to another node than the former one counts as new.
+A caller keeps its deadline when it retries, so a retry is matched by its request key
+and deadline. A retry at another node counts as a new request.
 """
 
 import attrs
 
 DEADLINE_TOLERANCE_MS = 25.0
-"""Most that the deadlines of two attempts of one caller differ here: the time that two
-requests take from the caller differs by less (3 to 8 ms on the deployments that were
-measured), and times are told in whole milliseconds."""
+"""Largest difference between the deadlines of two attempts of one caller.
+
+Exceeds the differences in transit times and the rounding to whole milliseconds.
+"""
 MAX_TRACKED_ATTEMPTS = 4096
-"""Attempts remembered at most: twice what a node refuses in the longest deadline seen
-(7 s) at 300 requests a second; some 0.5 MB."""
+"""Bounds the memory used."""
 
 
 @attrs.frozen(slots=True)
@@ -30,7 +27,7 @@
     request_key : tuple of bytes
         Method, host and target of the request.
     first_attempt_ms : float
-        When the caller first asked, as far as it is known.
+        When the caller first asked, as far as known.
     deadline_ms : float
         When the caller gives up.
     is_retry : bool
@@ -45,7 +42,7 @@
 
 @attrs.define(slots=True)
 class ReturningCallers:
-    """Attempts that ended without success and may come back before their deadline.
+    """Unsuccessful attempts that may be retried before their deadlines.
 
     Examples
     --------
@@ -62,7 +59,7 @@
     _count: int = 0
 
     def add(self, attempt: Attempt) -> None:
-        """Take in an attempt that ended without success."""
+        """Add an attempt that ended without success."""
         if self._count < MAX_TRACKED_ATTEMPTS:
             self._attempts.setdefault(attempt.request_key, []).append(attempt)
             self._count += 1
@@ -81,7 +78,7 @@
         return now_ms
 
     def expire(self, now_ms: float) -> None:
-        """Forget attempts whose caller has given up."""
+        """Drop attempts whose deadline has passed."""
         for request_key, attempts in list(self._attempts.items()):
             kept = [one for one in attempts if one.deadline_ms > now_ms]
             self._count -= len(attempts) - len(kept)
--- a/azurestep/mesh/decisions/sizes.py
+++ b/azurestep/mesh/decisions/sizes.py
@@ -1,19 +1,15 @@
-"""How long the answers of each route are. Pure.
+"""Mean size of each route's answers. Pure.
 
-Load pattern: routes with short and with long answers share servers and links. What
-crosses between data centres is priced by the byte, so an answer of 90 KB should stay
-near where a read of 1.5 KB may go abroad for a free slot. Taken for 1.5 KiB, long
-answers went abroad like reads: 0.37 GB on a day of trouble, 0.18 GB with their size
-learned (one run each of the same day).
+Traffic between data centres is charged by the byte, so long answers should come from
+the local data centre even where short ones may be served by a remote one.
 """
 
 import attrs
 
 INITIAL_SIZE_KIB = 1.5
-"""Size assumed for a route until its first answer: about one packet."""
+"""Size assumed for a route before its first answer: about one packet."""
 SIZE_MEAN_WEIGHT = 0.1
-"""Weight of a new answer in the mean: about the last twenty. Sizes of one route vary by
-a factor of two around their mean, and the mean moves by a tenth of that."""
+"""Weight of a new sample in the moving mean."""
 
 
 @attrs.define(slots=True)
@@ -31,11 +27,11 @@
     _mean_kib: dict[str, float] = attrs.field(factory=dict)
 
     def mean_kib(self, route: str) -> float:
-        """Return the mean of a route."""
+        """Return the mean of a route, or a default before its first answer."""
         return self._mean_kib.get(route, INITIAL_SIZE_KIB)
 
     def learn(self, route: str, size_bytes: int) -> None:
-        """Take the size of a whole answer in."""
+        """Add the size of a complete answer."""
         size_kib = size_bytes / 1024
         known = self._mean_kib.get(route, size_kib)
         self._mean_kib[route] = known + SIZE_MEAN_WEIGHT * (size_kib - known)
--- a/azurestep/mesh/decisions/stopping.py
+++ b/azurestep/mesh/decisions/stopping.py
@@ -1,33 +1,32 @@
-"""When a stopping node takes its last request, answers its last one and ends.
-
-Pure: the time of the signal and the grace time go in, times come out.
-"""
+"""Deadlines of a graceful shutdown. Pure."""
 
 import attrs
 
 REFUSE_DELAY_MS = 2300.0
-"""Time from SIGTERM until new requests are refused: callers go elsewhere after two
-answers of the readiness endpoint, one second apart, that say so. What was taken
-before has the rest of the grace time; without this, callers who find no other node
-kept a stopping one busy until it was killed, and their requests were cut."""
+"""Time from SIGTERM until new requests are refused.
+
+Leaves callers the time for two readiness checks, one second apart. Unlimited, callers
+without another node would keep the node busy until it is killed.
+"""
 EXIT_MARGIN_MS = 400.0
-"""Time kept between the end of a stopping node and SIGKILL."""
+"""Time between the exit of the node and SIGKILL."""
 DRAIN_MARGIN_MS = 300.0
-"""Time kept between a node's last answer of its own and its end: 50 ms to hear whether
-the request ran, one tick of 100 ms, and the rest for the answers' way out."""
+"""Time between the drain deadline and the exit.
+
+Covers the question whether a request ran, one tick, and the sending of the answers.
+"""
 UNINTERRUPTED_RATIO = 5 / 6
-"""Share of the grace time in which no run at work is given up. Operators take the rest
-as the time in which a request that is too long for a planned stop may fail."""
+"""Part of the grace time in which no run is aborted."""
 
 
 @attrs.frozen
 class ShutdownPlan:
-    """The times of one orderly stop.
+    """Deadlines of one graceful shutdown.
 
     Attributes
     ----------
     signalled_ms : float
-        When the signal came.
+        When SIGTERM came.
     grace_ms : float
         Time between SIGTERM and SIGKILL.
 
@@ -48,12 +47,12 @@
 
     @property
     def drain_deadline_ms(self) -> float:
-        """When what is still unanswered gets an answer of the node's own."""
+        """When the node itself answers the requests that are still open."""
         latest_ms = self.exit_deadline_ms - DRAIN_MARGIN_MS
         runs_until_ms = self.signalled_ms + self.grace_ms * UNINTERRUPTED_RATIO
         return min(max(latest_ms, runs_until_ms), self.exit_deadline_ms)
 
     @property
     def exit_deadline_ms(self) -> float:
-        """When the node ends at the latest."""
+        """When the node exits at the latest."""
         return self.signalled_ms + max(0.0, self.grace_ms - EXIT_MARGIN_MS)
