--- a/azurestep/mesh/backend/__init__.py
+++ b/azurestep/mesh/backend/__init__.py
@@ -1,1 +1,1 @@
-"""The backend server beside a node: admit, run, watch."""
+"""The local backend server: admission, runs, state and health."""
--- a/azurestep/mesh/backend/answer_parts.py
+++ b/azurestep/mesh/backend/answer_parts.py
@@ -1,4 +1,4 @@
-"""What came of a backend server's answer so far."""
+"""The answer of the backend server while it arrives."""
 
 import attrs
 
@@ -11,16 +11,16 @@
 
 @attrs.define(slots=True, eq=False)
 class PartialAnswer:
-    """Head and body of one answer, as they come in.
+    """Head and body of an answer while it arrives.
 
     Attributes
     ----------
     fields : AnswerFields or None
-        What its head says; None before it came.
+        Parsed headers; None before the head arrived.
     length_bytes : int
-        Length of the body that its head names; -1 if it names none.
+        Length of the body by its head; -1 if the head names none.
     size_bytes : int
-        What came of the body, passed on or not.
+        Bytes of the body so far, forwarded or not.
     """
 
     status: int = 0
@@ -30,7 +30,7 @@
     _body: list[bytes] = attrs.field(factory=list)
 
     def apply_head(self, status: int, headers: Headers, request_id: bytes) -> bool:
-        """Take the head; False if it names another request."""
+        """Apply the head; False if it belongs to another request."""
         fields = read_answer(headers)
         if not _is_answer_to(fields, status, request_id):
             events.log(
@@ -48,24 +48,24 @@
         return True
 
     def add(self, data: bytes) -> None:
-        """Keep a piece of the body."""
+        """Buffer a part of the body."""
         self._body.append(data)
         self.size_bytes += len(data)
 
     def pop_body(self) -> bytes:
-        """Return what was kept of the body, and keep it no longer."""
+        """Return the buffered part of the body and clear the buffer."""
         body, self._body = b"".join(self._body), []
         return body
 
     @property
     def is_authentic(self) -> bool:
-        """Whether the backend server signed it, as the bytes that it made."""
+        """Whether the backend server signed the body and nothing re-encoded it."""
         fields = self.fields
         return fields is not None and fields.signed and not fields.encoded
 
 
 def _is_answer_to(fields: AnswerFields, status: int, request_id: bytes) -> bool:
-    """Whether an answer is the request's own; a refusal may leave the id out."""
+    """Whether an answer is for the request; a refusal may omit the id."""
     if fields.request_id == request_id:
         return True
     return not fields.request_id and (fields.not_run or status == MISDIRECTED)
--- a/azurestep/mesh/backend/contained.py
+++ b/azurestep/mesh/backend/contained.py
@@ -1,24 +1,20 @@
-"""Steps of several requests: a fault in one ends that request alone."""
+"""Steps of several requests, each of which may fail without the others."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 
 class Faultable(Protocol):
-    """A request that can end with a fault of this program."""
+    """A request that can end with an internal error."""
 
     def on_fault(self, error: Exception) -> None:
-        """Tell the fault, and end with it."""
+        """Log the error and end the request."""
 
 
 def run_guarded(
     request: Faultable, step: Callable[..., None], *arguments: object
 ) -> None:
-    """Do a step of a request.
-
-    Raised on, a fault that a waiting request met at each look kept all others waiting,
-    beside free slots.
-    """
+    """Run a step of a request; an error ends that request and reaches no other."""
     try:
         step(*arguments)
     except Exception as error:
--- a/azurestep/mesh/backend/crashes.py
+++ b/azurestep/mesh/backend/crashes.py
@@ -1,8 +1,8 @@
-"""Requests that crash the backend servers that run them.
+"""Quarantine of requests that crash backend servers.
 
-The node beside a backend server knows which requests were under way as it died and
-tells all nodes; the node that a caller asks refuses a request that was under way at
-the deaths of several. The judgement is that of ``quarantine``.
+The local node knows which requests were in flight when its backend server died, and
+reports them to all nodes. A request that was in flight at several deaths is refused, as
+``quarantine`` decides.
 """
 
 import zlib
@@ -17,15 +17,14 @@
 from ..messages import Request
 
 QUARANTINE_RETRY_AFTER_MS = 10_000.0
-"""Time to come back after such a refusal: no request of a caller lives that long, so
-the request isn't sent again."""
+"""Exceeds the deadlines of callers, so that the request isn't sent again."""
 
 Publish = Callable[[str, list[QuarantineUpdate]], None]
-"""Tells all nodes news of a service."""
+"""Sends the updates of a service to all nodes."""
 
 
 def fingerprint_of(request: Request) -> int:
-    """Return what tells the same request sent again."""
+    """Return the fingerprint by which a repeated request is recognised."""
     return fingerprint(
         request.method.decode("latin-1"),
         request.route,
@@ -63,14 +62,14 @@
 
 @attrs.define(eq=False)
 class CrashTracker:
-    """What one node knows of requests that crash backend servers.
+    """Quarantine tables of one node, by service.
 
     Attributes
     ----------
     host : str
         Address of this instance.
     publish : Callable
-        Tells all nodes what was learned here.
+        Sends updates to all nodes.
     count_servers : Callable
         Returns how many backend servers a service has.
     """
@@ -81,7 +80,7 @@
     _tables: dict[str, Quarantine] = attrs.field(factory=dict)
 
     def record_lost(self, request: Request, now_ms: float) -> None:
-        """Note that a backend server broke off before its answer began."""
+        """Record that a connection ended before the answer to a request began."""
         if request.whole:
             table = self._tables.setdefault(request.service, Quarantine())
             table.record_loss(
@@ -89,7 +88,7 @@
             )
 
     def record_answered(self, request: Request, now_ms: float) -> None:
-        """Note that a backend server outlived a request."""
+        """Record that a backend server survived a request."""
         table = self._tables.get(request.service)
         if table is not None and table.active:
             key = self._key(request.incarnation)
@@ -98,7 +97,7 @@
     def record_death(
         self, service: str, incarnation: Incarnation, now_ms: float
     ) -> None:
-        """Note that the backend server beside this node died, and tell all nodes."""
+        """Record that the local backend server died, and publish the updates."""
         table = self._tables.get(service)
         if table is None:
             return
@@ -108,7 +107,7 @@
             self.publish(service, updates)
 
     def record_alive(self, service: str, incarnation: Incarnation) -> None:
-        """Note that the backend server beside this node takes connections."""
+        """Record that the local backend server accepts connections."""
         table = self._tables.get(service)
         if table is not None:
             table.record_alive(self._key(incarnation))
@@ -116,12 +115,12 @@
     def merge(
         self, service: str, updates: list[QuarantineUpdate], now_ms: float
     ) -> None:
-        """Take in what another node saw."""
+        """Merge the updates of another node."""
         table = self._tables.setdefault(service, Quarantine())
         table.merge(updates, now_ms, self.count_servers(service))
 
     def export(self, now_ms: float) -> list[tuple[str, list[QuarantineUpdate]]]:
-        """Return all that a node which has just been met should know."""
+        """Return all updates, for a peer that has just connected."""
         known = ((name, table.export(now_ms)) for name, table in self._tables.items())
         return [(name, updates) for name, updates in known if updates]
 
--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -1,7 +1,7 @@
-"""Requests for the backend server beside this node: admit, run, answer.
+"""Requests to the local backend server: admission, runs and answers.
 
-The only way to the backend server. It knows what runs and waits there, so a
-refusal is true: the request has not reached the backend server and never will.
+All requests to the backend server pass here, so a refusal is final: the request has not
+reached the backend server and never will.
 """
 
 import asyncio
@@ -26,27 +26,26 @@
 from .transfers import BodyTransfer, BodyTransfers
 
 CONNECT_TIMEOUT_S = 1.0
-"""A backend server on the same instance accepts within about 1 ms; this is the
-time after which a silent one counts as unreachable."""
+"""Time after which a backend server that doesn't accept is unreachable."""
 MAX_IDLE_MS = 8000.0
-"""Idle time after which a connection is closed here; backend servers close theirs
-after about 10 s and say so where the time is another."""
+"""Idle time after which a connection is closed, before the backend server does it."""
 IDLE_CLOSE_WINDOW_MS = 30.0
-"""Time from a request on an idle connection within which its end means that the
-backend server had forgotten the connection; the round trip takes about 1 ms and
-the shortest runs that were measured take 30 ms."""
+"""A reused connection that ends this soon after a request was closed while idle.
+
+The backend server had closed it before the request arrived.
+"""
 RECONNECT_INTERVAL_MS = 300.0
 """Time between attempts to reach a backend server that refuses connections."""
 
 
 @attrs.define(eq=False)
 class Inbound:
-    """The way to the backend server beside this node.
+    """Runs requests at the local backend server.
 
     Attributes
     ----------
     on_change : Callable
-        Called when other nodes should hear of a new state.
+        Called when the state to be reported to other nodes has changed.
     """
 
     runtime: Runtime
@@ -83,20 +82,19 @@
 
     @property
     def late_reason(self) -> Reason:
-        """Why what can't end in time is refused."""
+        """Reason for the refusal of requests that can't end in time."""
         return Reason.STOPPING if self.stopping else Reason.TOO_LATE
 
     def stop(self, drain_deadline_ms: float) -> None:
-        """Serve what can end by then; other nodes are told to choose others."""
+        """Serve only what can end by the deadline; other nodes choose other servers."""
         self.stopping = True
         self.admission.drain_deadline_ms = drain_deadline_ms
         self._schedule_scan()
 
     def submit(self, request: Request, receiver: AnswerReceiver) -> Run:
-        """Take a request; the receiver hears of its outcome.
+        """Admit a request and report its outcome to the receiver.
 
-        A fault on the way ends it, and is raised in place of an outcome. Left on the
-        books, the request held its slot and its turn until its deadline.
+        An error ends the run, so that its slot is released, and is raised.
         """
         run = Run(self, request, receiver)
         self._runs[run.ticket] = run
@@ -136,11 +134,9 @@
         return None
 
     def release(self, ticket: Ticket) -> None:
-        """Take a run off the books; the queue is looked at once its receiver knows.
+        """Remove a run and schedule a scan of the queue.
 
-        The queue forgets it first. Looked at before that, it gave a late ticket back
-        that no run belonged to any more; the fault reset the link of the caller who had
-        left, and with it every other run of that link.
+        Its ticket leaves the queue first, since the scan expects a run for each ticket.
         """
         self.admission.remove(ticket)
         self._runs.pop(ticket, None)
@@ -148,27 +144,24 @@
             self._schedule_scan()
 
     def end_transfer(self, transfer: BodyTransfer) -> None:
-        """Pass the turn to fetch a body on."""
+        """End the transfer of a body, so that the next one can begin."""
         self.transfers.end(transfer)
         self._schedule_scan()
 
     def _schedule_scan(self) -> None:
-        """Have the queue looked at from the event loop.
+        """Have the event loop scan the queue.
 
-        Looked at from within the end of a request, a queue of a few hundred that a
-        leaving server refused exceeded the depth of recursion, and the end of each
-        request of a lost link started the next one only to cancel it.
+        A scan within the end of a request would recurse through a long queue, and would
+        start requests that are about to be cancelled together.
         """
         if not self._scan_scheduled:
             self._scan_scheduled = True
             self.runtime.call_soon(self._scan_queue)
 
     def _scan_queue(self) -> None:
-        """Refuse what can't be answered in time any more, give free slots and turns.
+        """Refuse late requests, then hand out free slots and transfers.
 
-        Looked at every 0.1 s only, requests with run times below that reached their
-        callers' deadline in the queue: 1,650 of 83,000 attempts of a day of high load
-        were answered 504 though they had not run.
+        Also done between ticks, since the deadline of a short request may pass earlier.
         """
         self._scan_scheduled = False
         now_ms = self.now_ms()
@@ -184,9 +177,9 @@
             run_guarded(transfer, transfer.request_body)
 
     def _refuse(self, tickets: list[Ticket], reason: Reason) -> None:
-        """Refuse waiting requests; each waits until its turn to be refused comes.
+        """Refuse waiting requests.
 
-        One may end meanwhile, by what the receiver of another does.
+        The receiver of one may end another meanwhile.
         """
         for ticket in tickets:
             run = self._runs.get(ticket)
@@ -194,7 +187,7 @@
                 run_guarded(run, run.refuse, reason)
 
     async def connect(self) -> ClientConnection | None:
-        """Open a connection to the backend server; None if it takes none."""
+        """Open a connection to the backend server; None if it accepts none."""
         loop = self.runtime.loop
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -214,12 +207,12 @@
         return connection
 
     def return_connection(self, connection: ClientConnection) -> None:
-        """Keep an idle connection."""
+        """Return a connection to the idle pool."""
         if connection.usable:
             self.idle.put(connection, self.runtime.loop.time())
 
     def handle_replaced_instance(self, request: Request, instance_id: str) -> None:
-        """Learn that another incarnation answered."""
+        """Apply that another incarnation answered."""
         events.log(
             events.BACKEND_REPLACED,
             id=request.request_id,
@@ -231,7 +224,7 @@
         self.on_change()
 
     def record_run(self, failed: bool) -> None:
-        """Count a run that ended, and tell all nodes at once of a failing server."""
+        """Count a run that ended, and report a rising failure ratio at once."""
         before = self.health.failure_ratio
         self.health.record(failed)
         if failed and self.health.failure_ratio > before:
@@ -240,10 +233,10 @@
     def record_connection_loss(
         self, request: Request, connection: ClientConnection, sent_ms: float
     ) -> None:
-        """Learn that a connection ended under a request, before any answer.
+        """Record that a connection ended under a request, before any answer.
 
-        A backend server that dies ends all its connections; the last one of them
-        has it looked at whether it still listens. If it does, no request is blamed.
+        A backend server that dies ends all its connections; after the last one a
+        connection attempt shows whether it is alive. If it is, no request is blamed.
         """
         self._next_reconnect_ms = 0.0
         self.crashes.record_lost(request, self.now_ms())
@@ -262,12 +255,12 @@
         )
 
     def changed(self) -> None:
-        """Apply a change of what the backend server announced."""
+        """Apply a new announcement of the backend server."""
         self.unreachable = False
         self.on_change()
 
     def tick(self) -> None:
-        """Have the queue looked at, break off overtime, retry the address."""
+        """Scan the queue, enforce timeouts and retry an unreachable backend server."""
         now_ms = self.now_ms()
         self._tick_health()
         self.load = tick_load(self.load, self.admission, self.backend)
--- a/azurestep/mesh/backend/interfaces.py
+++ b/azurestep/mesh/backend/interfaces.py
@@ -1,4 +1,4 @@
-"""What a run at the backend server needs of its surroundings."""
+"""Protocols between a run and its surroundings."""
 
 from typing import Protocol
 
@@ -13,29 +13,29 @@
 
 
 class AnswerReceiver(Protocol):
-    """What hears of the outcome of one request."""
+    """Receives the outcome of one request."""
 
     def on_answer(self, answer: Answer) -> None:
-        """Take the answer, or its head and first bytes."""
+        """Handle the answer, or its head and first bytes."""
 
     def on_answer_data(self, data: bytes, whole: bool) -> None:
-        """Take more of the answer."""
+        """Handle more of the answer."""
 
     def on_refusal(self, refusal: Refusal) -> None:
-        """Learn that the request has not run and will not."""
+        """Handle a refusal: the request has not run and will not."""
 
     def on_failure(self, failure: Failure) -> None:
-        """Learn that no whole answer comes."""
+        """Handle a failure: no complete answer comes."""
 
     def on_credit(self, size: int) -> None:
-        """Learn that so many bytes of the body were taken."""
+        """Handle that ``size`` bytes of the request's body were consumed."""
 
     def on_slot_ready(self) -> None:
-        """Learn that a held request has a slot and waits to be let go."""
+        """Handle that a request that needs confirmation has a slot."""
 
 
 class RunHost(Protocol):
-    """The way to the backend server that runs share."""
+    """The shared state of all runs at the local backend server."""
 
     runtime: Runtime
     backend: Backend
@@ -48,22 +48,22 @@
 
     @property
     def late_reason(self) -> Reason:
-        """Why what can't end in time is refused."""
+        """Reason for the refusal of requests that can't end in time."""
 
     def now_ms(self) -> float:
         """Return the monotonic time."""
 
     async def connect(self) -> ClientConnection | None:
-        """Open a connection to the backend server; None if it takes none."""
+        """Open a connection to the backend server; None if it accepts none."""
 
     def return_connection(self, connection: ClientConnection) -> None:
-        """Keep an idle connection."""
+        """Return a connection to the idle pool."""
 
     def release(self, ticket: Ticket) -> None:
-        """Take a run off the books; nobody is called from within."""
+        """Remove a run; calls no receiver."""
 
     def end_transfer(self, transfer: BodyTransfer) -> None:
-        """Pass the turn to fetch a body on; nobody is called from within."""
+        """End the transfer of a body; calls no receiver."""
 
     def record_run(self, failed: bool) -> None:
         """Count a run that ended."""
@@ -71,7 +71,7 @@
     def record_connection_loss(
         self, request: Request, connection: ClientConnection, sent_ms: float
     ) -> None:
-        """Learn that a connection ended under a request, before any answer."""
+        """Record that a connection ended under a request, before any answer."""
 
     def handle_replaced_instance(self, request: Request, instance_id: str) -> None:
-        """Learn that another incarnation answered."""
+        """Apply that another incarnation answered."""
--- a/azurestep/mesh/backend/load.py
+++ b/azurestep/mesh/backend/load.py
@@ -1,4 +1,4 @@
-"""How full the backend server was in the last second, for one log line."""
+"""Mean load of the backend server in the last second, for one log line."""
 
 import attrs
 
@@ -7,12 +7,12 @@
 from .state import Backend
 
 TICKS_PER_LINE = 10
-"""Ticks of 0.1 s that one line sums up."""
+"""Ticks of 0.1 s that one log line covers."""
 
 
 @attrs.define(slots=True)
 class LoadSummary:
-    """Sums over the ticks of one line.
+    """Sums over the ticks of one log line.
 
     Examples
     --------
@@ -32,23 +32,23 @@
 
     @property
     def running(self) -> float:
-        """Mean of the requests that ran."""
+        """Mean number of running requests."""
         return round(self._running / max(1, self._ticks), 1)
 
     @property
     def waiting(self) -> float:
-        """Mean of the requests that waited."""
+        """Mean number of waiting requests."""
         return round(self._waiting / max(1, self._ticks), 1)
 
     def tick(self, running: int, waiting: int) -> bool:
-        """Take a look at the queue in; return whether the line is due."""
+        """Add a sample of the queue; return whether the log line is due."""
         self._ticks += 1
         self._running += running
         self._waiting += waiting
         return self._ticks >= TICKS_PER_LINE
 
     def log(self, instance_id: str, service: str, slots: int) -> None:
-        """Log the line."""
+        """Write the log line."""
         events.log(
             events.BACKEND_LOAD,
             instance=instance_id,
@@ -63,10 +63,7 @@
 
 
 def tick_load(load: LoadSummary, admission: Admission, backend: Backend) -> LoadSummary:
-    """Take a look at the queue in; return what the next one goes to.
-
-    A whole summary is logged and a new one begun.
-    """
+    """Add a sample of the queue; log a full summary and return the next one."""
     running = len(admission.running)
     if not load.tick(running, admission.in_flight - running):
         return load
--- a/azurestep/mesh/backend/probing.py
+++ b/azurestep/mesh/backend/probing.py
@@ -1,8 +1,7 @@
-"""Health probes: which incarnation runs beside this node.
+"""Health probes that find the incarnation of the local backend server.
 
-Asked only where heartbeats don't tell: after a restart of the node, which would
-otherwise leave the backend server unused for up to a heartbeat, 1.5 s, and when two
-incarnations announced themselves at the same address.
+Sent only where heartbeats don't suffice: after a restart of the node, instead of
+waiting for the next heartbeat, and when two incarnations announced the same address.
 """
 
 import asyncio
@@ -19,13 +18,13 @@
 
 PROBE_TIMEOUT_S = 1.0
 SEARCH_TIMEOUT_MS = 3000.0
-"""Time from the start in which a restarted node looks for the backend server beside
-it: two heartbeats, after which its silence means that it is gone."""
+"""Time after the start in which a restarted node searches for its backend server.
+
+Covers two heartbeats; a server that is silent for longer is gone.
+"""
 DEFAULT_SLOTS = 4
-"""Slots of a backend server that a probe found and that tells no load, until its
-heartbeat says how many; the least that was seen on a deployment is 6."""
+"""Slots of a backend server found by a probe, until its heartbeat names them."""
 MIN_PROBE_INTERVAL_MS = 300.0
-"""Least time between two probes."""
 OK = 200
 
 
@@ -36,7 +35,7 @@
     Attributes
     ----------
     slots : int or None
-        How many requests it runs at once, where it tells it.
+        Requests that it runs concurrently; None if it named no number.
     """
 
     instance_id: str
@@ -44,7 +43,7 @@
 
 
 class ProbeAnswerSink:
-    """Collects the answer to a probe."""
+    """Receives the answer to a probe."""
 
     def __init__(self, future: "asyncio.Future[ProbeResult | None]") -> None:
         self._future = future
@@ -65,13 +64,13 @@
         """Ignore the body."""
 
     def on_complete(self, reusable: bool) -> None:
-        """Hand the incarnation over if it is healthy."""
+        """Set the incarnation as the result if it is healthy."""
         healthy = self._status == OK
         if not self._future.done():
             self._future.set_result(self._result if healthy else None)
 
     def on_failed(self, reason: str) -> None:
-        """Hand over that nobody is known to run there."""
+        """Set None as the result."""
         if not self._future.done():
             self._future.set_result(None)
 
@@ -81,15 +80,14 @@
 
 @attrs.define(eq=False)
 class Prober:
-    """Sends a health probe to the backend server where it is in doubt.
+    """Probes the local backend server while its incarnation is uncertain.
 
     Attributes
     ----------
     service : str
-        Service of the backend server, as the settings say.
+        Service of the backend server by the settings.
     restarted : bool
-        Whether the backend server may have been running before this process, so
-        that it is looked for instead of waiting for its next heartbeat.
+        Whether the backend server may have been running before this process.
     """
 
     runtime: Runtime
@@ -105,7 +103,7 @@
         self._started_ms = self.runtime.now_ms()
 
     def check(self) -> None:
-        """Probe if it is not clear which incarnation runs."""
+        """Send a probe if the incarnation is uncertain."""
         if self._probing or not self._is_due() or self.table() is None:
             return
         if self.runtime.now_ms() - self._last_ms < MIN_PROBE_INTERVAL_MS:
--- a/azurestep/mesh/backend/request_bytes.py
+++ b/azurestep/mesh/backend/request_bytes.py
@@ -1,4 +1,4 @@
-"""The bytes of a request as the backend server gets it."""
+"""Encoding of requests to the backend server."""
 
 from ...platform.headers import to_backend
 from ..messages import Request
@@ -9,14 +9,14 @@
 def encode_request(
     request: Request, content: bytes, whole: bool, remaining_ms: float
 ) -> bytes:
-    """Return the head and what is there of the body.
+    """Return the head and the available part of the body.
 
     Parameters
     ----------
     content : bytes
-        What is there of the body.
+        Available part of the body.
     whole : bool
-        Whether that is all of it.
+        Whether that is the complete body.
     remaining_ms : float
         Time after which the backend server stops work.
     """
@@ -38,7 +38,7 @@
 
 
 def encode_body_part(request: Request, data: bytes, whole: bool) -> bytes:
-    """Return more of the body, in chunks if its length is not known."""
+    """Return a part of the body, chunked if its length is unknown."""
     if request.length >= 0:
         return data
     chunk = b"%x\r\n%b\r\n" % (len(data), data) if data else b""
--- a/azurestep/mesh/backend/run.py
+++ b/azurestep/mesh/backend/run.py
@@ -1,4 +1,4 @@
-"""One request at the backend server beside this node."""
+"""One request at the local backend server."""
 
 from collections.abc import Callable
 
@@ -12,27 +12,36 @@
 from .request_bytes import encode_body_part, encode_request
 
 MAX_BUFFERED_BYTES = 262_144
-"""Answers up to this size are read whole before they are passed on, so that one
-that is cut short can be tried elsewhere; longer ones are streamed."""
+"""Answers up to this size are buffered before they are forwarded.
+
+A truncated one can then be retried elsewhere. Longer ones are streamed.
+"""
 FLOW_WINDOW_BYTES = 262_144
-"""Bytes of a streamed body that may be on their way between two nodes."""
+"""Bytes of a streamed body that may be in transit between two nodes."""
 MAX_IDLE_UNSAFE_MS = 2000.0
-"""Most idle time of a connection that carries a request that must not run twice:
-backend servers close idle connections after seconds, and a request that crosses
-the close may have run."""
+"""Idle time up to which a connection may carry a request that must not run twice.
+
+Backend servers close connections idle for longer; a request that crosses the close
+may have run.
+"""
 ABORT_DELAY_MS = 150.0
-"""Time past the deadline after which a run is broken off here; the backend server
-stops by itself at the deadline."""
+"""Time past the deadline after which a run is aborted.
+
+The backend server stops by itself at the deadline.
+"""
 MAX_TRANSIT_MS = 100.0
-"""Longest delay of a request on its way here that isn't taken off its time; its
-caller's deadline may come by so much before the one that is reckoned here."""
+"""Longest transit time by which a caller's deadline may precede the one known here."""
 CONFIRMATION_TIMEOUT_MS = 400.0
-"""Longest time that a held request keeps a slot; its sender answers within some 3 ms
-and gives a silent link up after 250 ms."""
+"""Longest time that a request holds a slot without confirmation.
+
+Exceeds the time after which a sender gives up an unresponsive link.
+"""
 TRANSFER_TIMEOUT_MS = 450.0
-"""Longest turn to be sent a body. One of 512 KB, the longest, takes 420 ms on a link of
-10 Mbit/s. With a longer turn, two senders that had fallen silent kept all other uploads
-beside a server from their bodies until their own deadlines."""
+"""Longest time for the transfer of a body.
+
+Enough for the largest body on a link of 10 Mbit/s; longer, unresponsive senders would
+block the transfers of others.
+"""
 FIRST_FAILURE_STATUS = 300
 BAD_REQUEST = 400
 SERVER_ERROR = 500
@@ -40,7 +49,7 @@
 
 
 class Run:
-    """One request on its way through this node to the backend server."""
+    """One request on its way to the local backend server."""
 
     def __init__(
         self, inbound: RunHost, request: Request, receiver: AnswerReceiver
@@ -72,10 +81,10 @@
         self._awaits_body = False
         self._could_end_in_time: bool | None = None
 
-    # From the sender of the request.
+    # Called by the sender of the request.
 
     def body(self, data: bytes, whole: bool) -> None:
-        """Take more of the request's body."""
+        """Handle more of the request's body."""
         if self.done:
             return
         self._whole = whole
@@ -90,7 +99,7 @@
         self._send_credit(len(data))
 
     def proceed(self) -> None:
-        """Send a held request on."""
+        """Run a request that needed confirmation."""
         if self._needs_confirmation:
             self._needs_confirmation = False
             if self.done or not self._confirmation_asked_ms:
@@ -100,7 +109,7 @@
             self.start()
 
     def cancel(self) -> None:
-        """Stop the request; nobody waits for its answer."""
+        """Abort the request without an outcome; nobody waits for it."""
         if self.done:
             return
         if self._sent_ms:
@@ -120,10 +129,10 @@
         return self._sent_ms > 0
 
     def withdraw(self) -> None:
-        """Stop the request and tell the receiver whether it had not run.
+        """Abort the request and report whether it may have run.
 
-        Before its caller's deadline it is withdrawn by a node that stops. Counted as
-        failures, four long runs made a sound server's failing share 0.6 at all nodes.
+        A sender that shuts down withdraws requests before their deadlines; that is no
+        failure of the backend server.
         """
         if self.may_have_run:
             overdue = self.inbound.now_ms() >= self.deadline_ms - MAX_TRANSIT_MS
@@ -132,7 +141,7 @@
             self.refuse(Reason.TOO_LATE)
 
     def grant(self, size: int) -> None:
-        """Learn that the receiver took bytes of the answer."""
+        """Handle that the receiver consumed bytes of the answer."""
         self._unacknowledged_bytes -= size
         if (
             self._unacknowledged_bytes < FLOW_WINDOW_BYTES
@@ -141,13 +150,13 @@
             self._connection.resume_reading()
 
     def replace_receiver(self, receiver: AnswerReceiver) -> None:
-        """Have another receiver hear of the outcome."""
+        """Report the outcome to another receiver."""
         self.receiver = receiver
 
-    # From the queue.
+    # Called when the request gets a slot.
 
     def start(self) -> None:
-        """Send the request to the backend server; it holds a slot."""
+        """Send the request, which holds a slot, to the backend server."""
         inbound = self.inbound
         if not inbound.backend.admits(inbound.now_ms()):
             self.refuse(Reason.LEAVING)
@@ -166,10 +175,10 @@
         inbound.runtime.spawn(self._connect())
 
     def _is_too_late(self) -> bool:
-        """Whether what could end in time as it got its slot can't any more.
+        """Whether a request that could end in time can't any more.
 
-        One that could not even then is tried, unless this node is stopping: the mean
-        run time that speaks against it is corrected by runs alone.
+        One that never could is tried, unless this node is shutting down: only runs
+        correct a mean run time that is too long.
         """
         inbound = self.inbound
         in_time = inbound.admission.can_end_in_time(self.ticket, inbound.now_ms())
@@ -184,7 +193,7 @@
         self.request_body()
 
     def request_body(self) -> None:
-        """Ask the sender to let the request go, and for its body if that is long."""
+        """Ask the sender to confirm the request and to send a long body."""
         self._confirmation_asked_ms = self.inbound.now_ms()
         self.receiver.on_slot_ready()
 
@@ -229,18 +238,18 @@
             size, self._uncredited_bytes = self._uncredited_bytes, 0
             self.receiver.on_credit(size)
 
-    # From the connection to the backend server.
+    # Called by the connection to the backend server.
 
     def on_writable(self) -> None:
-        """Grant the sender more bytes."""
+        """Send the sender more credit."""
         self._send_credit(0)
 
     def on_head(self, status: int, headers: Headers) -> bool:
-        """Take the head of an answer; an extra one names another request."""
+        """Handle the head of an answer; False if it belongs to another request."""
         return self._partial.apply_head(status, headers, self.request.request_id)
 
     def on_data(self, data: bytes) -> None:
-        """Take a piece of the answer's body."""
+        """Handle a part of the answer's body."""
         if self._streaming:
             self._forward(data, False)
             return
@@ -262,7 +271,7 @@
         self.receiver.on_answer_data(data, whole)
 
     def on_complete(self, reusable: bool) -> None:
-        """Pass the whole answer on, or say why it can't be."""
+        """Report the complete answer, or why it can't be used."""
         connection, self._connection = self._connection, None
         fields = self._partial.fields
         if connection is not None and reusable and fields is not None:
@@ -328,7 +337,7 @@
         self._finish()
 
     def on_failed(self, reason: str) -> None:
-        """Learn that the backend server broke off, or that a fault was met."""
+        """Handle a broken connection, or a fault in a callback."""
         if reason == FAULT:
             self.fail_with_fault()
             return
@@ -342,7 +351,7 @@
         self.fail(Reason.TRUNCATED if self._partial.fields is not None else kind)
 
     def enforce_timeouts(self, now_ms: float) -> None:
-        """Give up what nobody lets go or sends, and what runs past its deadline."""
+        """End a request whose confirmation, body or answer is overdue."""
         waited_ms = (
             now_ms - self._confirmation_asked_ms if self._confirmation_asked_ms else 0.0
         )
@@ -355,15 +364,15 @@
             self.withdraw()
 
     def refuse_if_late(self, now_ms: float) -> None:
-        """Refuse a request that was not sent on and can't be answered in time."""
+        """Refuse a request that was not sent and can't end in time."""
         in_time = self.inbound.admission.can_end_in_time(self.ticket, now_ms)
         if not (self.may_have_run or in_time):
             self.refuse(self.inbound.late_reason)
 
-    # Ends.
+    # Outcomes.
 
     def refuse(self, reason: Reason, reached_backend: bool = False) -> None:
-        """Say that the request has not run."""
+        """Report that the request has not run."""
         if self.done:
             return
         self._finish()
@@ -393,7 +402,7 @@
         self.inbound.runtime.metrics.count("refused_here", reason.name)
 
     def fail(self, reason: Reason, blame: bool = True) -> None:
-        """Say that the request may have run; blame the server if that counts."""
+        """Report that the request may have run; ``blame`` counts against the server."""
         if self.done:
             return
         self._run_guarded(self._record_slow_run)
@@ -404,17 +413,16 @@
         self.receiver.on_failure(Failure(int(reason), self.inbound.admission.in_flight))
 
     def on_fault(self, error: Exception) -> None:
-        """End after a fault in a step of this run that nobody waits for."""
+        """Log an error in a step that has no caller to raise to, and end."""
         runtime = self.inbound.runtime
         runtime.report_fault("run", error, id=self.request.request_id)
         if not self.done:
             runtime.run_guarded("run", self.fail_with_fault)
 
     def fail_with_fault(self) -> None:
-        """End after a fault of this program, which says nothing of the server.
+        """End with an internal error, which doesn't count against the server.
 
-        Its receiver hears of it also where the run had ended: a fault in telling it of
-        the answer left its caller waiting until the deadline.
+        Reported even after the run ended: the error may have prevented its outcome.
         """
         self._finish()
         self._run_guarded(self._log_failed, Reason.FAULT)
@@ -433,16 +441,16 @@
         self.inbound.runtime.metrics.count("failed_here", reason.name)
 
     def _record_slow_run(self) -> None:
-        """Count a run without an answer, if it was longer than usual."""
+        """Count a run without an answer if it was longer than the mean."""
         admission, route = self.inbound.admission, self.request.route
         run_ms = self.inbound.now_ms() - self._sent_ms
         if self._sent_ms and run_ms > admission.mean_run_ms(route):
             admission.learn(route, run_ms)
 
     def _finish(self) -> None:
-        """Leave the books and the connection.
+        """Release the transfer, the slot and the connection.
 
-        Each step is contained: an error of one left the sender without any word.
+        Each step is guarded, so that the outcome is reported in any case.
         """
         self.done = True
         self._run_guarded(self.inbound.transfers.end, self)
--- a/azurestep/mesh/backend/state.py
+++ b/azurestep/mesh/backend/state.py
@@ -1,7 +1,7 @@
-"""What a node knows of the backend server beside it.
+"""State of the local backend server.
 
-The node is the only one that sends requests to this backend server, so what it
-decides here holds for the whole fleet: a server that leaves gets nothing more.
+All requests to the backend server pass the local node, so its decisions hold for the
+whole fleet: a leaving server gets no more requests.
 """
 
 import attrs
@@ -11,26 +11,28 @@
 from ..messages import Reason, Request
 
 DRAIN_ADMIT_RATIO = 0.5
-"""Share of the drain bound in which requests on their way still get in."""
+"""Part of the drain time in which requests in transit are still admitted."""
 LEAVING_SINCE_UNKNOWN_MS = float("-inf")
-"""Begin of the leaving of an incarnation that this process never saw serving: the
-process before it may have acknowledged the leaving long ago."""
+"""Start of the drain of an incarnation that this process never saw serving.
+
+The previous process of the node may have acknowledged the leaving long ago.
+"""
 
 
 @attrs.define(slots=True)
 class IncarnationRecord:
-    """What is known of the newest incarnation under one id.
+    """The newest known incarnation under one id.
 
     Attributes
     ----------
     started_ms : int or None
-        Its start; None until it told it.
+        Its start; None until announced.
     heartbeat : Heartbeat or None
-        The newest one.
+        Its latest heartbeat.
     leaving_since_ms : float or None
-        When it first said that it leaves.
+        When it first announced that it leaves.
     ended : bool
-        Whether another one was found at its address.
+        Whether another incarnation was found at its address.
     """
 
     started_ms: int | None
@@ -41,7 +43,7 @@
     def is_superseded_by(self, started_ms: int | None) -> bool:
         """Whether an incarnation with that start is a later one.
 
-        One that ended before it told its start may have been an earlier one too.
+        If this one never announced its start, any start after its end counts as later.
         """
         if started_ms is None:
             return False
@@ -60,19 +62,19 @@
 
 @attrs.define(slots=True)
 class Backend:
-    """The backend server beside this node, as it announced itself.
+    """The local backend server as it announced itself.
 
     Attributes
     ----------
     drain_ms : float
-        Bound of the time between a leaving notice and the last request.
+        Longest time between a leaving notice and the last request.
     service, slots : str, int
         As announced; the service is empty until the first heartbeat.
     instance_id : str
-        Id of the incarnation that gets the requests.
+        Id of the incarnation that receives requests.
     conflicting_id : str
-        An incarnation that announced itself at the same address while another
-        one is known; a health probe decides which of them runs.
+        Another incarnation that announced the same address; a health probe finds out
+        which of them runs.
     """
 
     drain_ms: float
@@ -85,7 +87,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The one that gets the requests."""
+        """The incarnation that receives requests."""
         if not self.instance_id:
             return NO_INCARNATION
         record = self._records.get(self.instance_id)
@@ -94,7 +96,7 @@
         return Incarnation(name, started_ms or START_UNKNOWN)
 
     def apply_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> None:
-        """Take a heartbeat in; a late or overtaken one changes nothing."""
+        """Apply a heartbeat; an outdated one can only announce leaving."""
         name = heartbeat.instance_id
         record = self._find_record(name, heartbeat.started_ms)
         if record is None:
@@ -115,25 +117,25 @@
             self.conflicting_id = name
 
     def apply_leaving(self, notice: LeavingNotice, now_ms: float) -> None:
-        """Take a leaving notice in."""
+        """Apply a leaving notice."""
         record = self._find_record(notice.instance_id, notice.started_ms)
         if record is not None:
             self._record_leaving(notice.instance_id, record, now_ms)
 
     def announced_service(self, instance_id: str) -> str:
-        """Return the service that was announced under an id; empty for none."""
+        """Return the service announced under an id; empty for none."""
         record = self._records.get(instance_id)
         if record is None or record.heartbeat is None:
             return ""
         return record.heartbeat.service
 
     def discover(self, instance_id: str, service: str, slots: int) -> bool:
-        """Take in what a health probe found where nothing was announced.
+        """Use the incarnation that a health probe found, if none was announced.
 
         Returns
         -------
         bool
-            Whether this is the incarnation that gets the requests now.
+            Whether it receives the requests now.
         """
         record = self._records.get(instance_id)
         gone = record is not None and (
@@ -147,7 +149,7 @@
         return True
 
     def confirm_instance(self, instance_id: str, now_ms: float) -> None:
-        """Learn from an answer which incarnation runs at the address."""
+        """Apply which incarnation an answer came from."""
         record = self._records.get(instance_id)
         if not instance_id or (record is not None and record.ended):
             return
@@ -162,9 +164,9 @@
             self._switch_to(record.heartbeat, now_ms)
 
     def mark_gone(self, incarnation: Incarnation) -> None:
-        """Note that an incarnation does not run at the address any more.
+        """Record that an incarnation doesn't run at the address any more.
 
-        A later one under the same id is not concerned.
+        A later one under the same id is not affected.
         """
         name = incarnation.instance_id.decode("latin-1")
         record = self._records.get(name)
@@ -175,7 +177,7 @@
             self.instance_id = ""
 
     def is_leaving(self) -> bool:
-        """Whether the incarnation that gets requests said that it leaves."""
+        """Whether the incarnation that receives requests is leaving."""
         return self._leaving_since_ms() is not None
 
     def is_open(self) -> bool:
@@ -198,17 +200,16 @@
         return None if self.admits(now_ms) else Reason.LEAVING
 
     def cold_remaining_ms(self, now_ms: float) -> float:
-        """Return how much longer the backend server is slow after its start."""
+        """Return the remaining time of its cold start."""
         return max(0.0, self._cold_until_ms - now_ms)
 
     def _find_record(
         self, name: str, started_ms: int | None
     ) -> IncarnationRecord | None:
-        """Return the record that news of an incarnation belong to.
+        """Return the record of an incarnation; None if a newer one is known.
 
-        None if they are late news of a start before the newest one. A later start
-        begins anew: its heartbeats count from one again, and what the earlier one
-        said of leaving does not hold.
+        A later start gets a new record: its heartbeats are numbered from one again, and
+        an earlier leaving doesn't apply to it.
         """
         record = self._records.get(name)
         if record is None or record.is_superseded_by(started_ms):
--- a/azurestep/mesh/backend/transfers.py
+++ b/azurestep/mesh/backend/transfers.py
@@ -1,4 +1,4 @@
-"""Long bodies on their way to this node: a few at once, so that links stay quick."""
+"""Transfers of long request bodies, limited so that links stay responsive."""
 
 from collections import deque
 from typing import Protocol
@@ -8,35 +8,36 @@
 from .contained import Faultable
 
 MAX_CONCURRENT_TRANSFERS = 2
-"""Bodies that are fetched at once. One of 60 KB takes 48 ms on a link of 10 Mbit/s;
-with more of them, answers to probes would wait longer than the 200 ms after which a
-node is doubted."""
+"""Limit of concurrent transfers.
+
+More would delay answers to probes so much that the node is taken for unresponsive.
+"""
 
 
 class BodyTransfer(Faultable, Protocol):
-    """A request whose body is fetched when its turn comes."""
+    """A request whose body is sent on demand."""
 
     def request_body(self) -> None:
         """Ask the sender for the body."""
 
     def refuse_if_late(self, now_ms: float) -> None:
-        """Refuse the request if it can't be answered in time any more."""
+        """Refuse the request if it can't end in time."""
 
 
 @attrs.define(eq=False)
 class BodyTransfers:
-    """The bodies that are being fetched, and those that wait."""
+    """Active and waiting transfers of bodies."""
 
     _active: set[BodyTransfer] = attrs.field(factory=set)
     _waiting: deque[BodyTransfer] = attrs.field(factory=deque)
 
     @property
     def waiting(self) -> list[BodyTransfer]:
-        """Requests that wait for their turn."""
+        """Requests that wait for their transfer."""
         return list(self._waiting)
 
     def begin(self, transfer: BodyTransfer) -> bool:
-        """Whether a body may be fetched now; if not, its turn comes later."""
+        """Begin or queue a transfer; return whether it began."""
         if self._waiting or len(self._active) >= MAX_CONCURRENT_TRANSFERS:
             self._waiting.append(transfer)
             return False
@@ -44,13 +45,13 @@
         return True
 
     def end(self, transfer: BodyTransfer) -> None:
-        """Note that a body came or is not needed."""
+        """Remove a transfer that has ended or isn't needed."""
         self._active.discard(transfer)
         if transfer in self._waiting:
             self._waiting.remove(transfer)
 
     def start_next(self) -> BodyTransfer | None:
-        """Give a free place to the one that waited longest, and return that."""
+        """Begin the transfer that waited longest, if one may, and return it."""
         if not self._waiting or len(self._active) >= MAX_CONCURRENT_TRANSFERS:
             return None
         transfer = self._waiting.popleft()
