--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -212,7 +212,7 @@
             self.idle.put(connection, self.runtime.loop.time())
 
     def handle_replaced_instance(self, request: Request, instance_id: str) -> None:
-        """Apply that another incarnation answered."""
+        """Handle an answer of another incarnation."""
         events.log(
             events.BACKEND_REPLACED,
             id=request.request_id,
--- a/azurestep/mesh/backend/interfaces.py
+++ b/azurestep/mesh/backend/interfaces.py
@@ -74,4 +74,4 @@
         """Record that a connection ended under a request, before any answer."""
 
     def handle_replaced_instance(self, request: Request, instance_id: str) -> None:
-        """Apply that another incarnation answered."""
+        """Handle an answer of another incarnation."""
--- a/azurestep/mesh/backend/state.py
+++ b/azurestep/mesh/backend/state.py
@@ -149,7 +149,7 @@
         return True
 
     def confirm_instance(self, instance_id: str, now_ms: float) -> None:
-        """Apply which incarnation an answer came from."""
+        """Update the state by the incarnation that an answer came from."""
         record = self._records.get(instance_id)
         if not instance_id or (record is not None and record.ended):
             return
--- a/tests/fixtures_inbound.py
+++ b/tests/fixtures_inbound.py
@@ -1,4 +1,4 @@
-"""The way to one backend server, with a clock and an event loop that tests drive."""
+"""The inbound path of one backend server, with a clock and loop driven by tests."""
 
 from collections import deque
 from collections.abc import Callable, Coroutine
@@ -23,7 +23,7 @@
 
 @attrs.define(eq=False)
 class ManualLoop:
-    """Keeps what is due until a test runs it."""
+    """Keeps callbacks until a test runs them."""
 
     now_ms: float = 1000.0
     due: deque[tuple[Callable[..., object], tuple[Any, ...]]] = attrs.field(
@@ -37,14 +37,14 @@
         self.due.append((act, arguments))
 
     def run_due(self) -> None:
-        """Run what is due, and what becomes due by it."""
+        """Run all callbacks, including those that are added meanwhile."""
         while self.due:
             act, arguments = self.due.popleft()
             act(*arguments)
 
 
 class ManualRuntime(Runtime):
-    """A runtime whose time stands still until a test moves it."""
+    """A runtime whose clock is set by tests."""
 
     loop: ManualLoop  # type: ignore[assignment]
 
@@ -57,7 +57,7 @@
 
 @attrs.define(eq=False)
 class OpenRuntime(ManualRuntime):
-    """Lets a test see the errors of what the loop calls, and the contained ones."""
+    """Records contained faults, and lets tests see the errors of callbacks."""
 
     errors: list[BaseException] = attrs.field(factory=list)
 
@@ -75,11 +75,11 @@
         work.send(None)
     except StopIteration:
         return
-    raise AssertionError("nothing here should need to wait")
+    raise AssertionError("coroutines must not wait in these tests")
 
 
 class ManualInbound(Inbound):
-    """Opens connections that lead nowhere; tests answer on them."""
+    """Opens connections without a server; tests answer on them."""
 
     async def connect(self) -> ClientConnection | None:
         return ClientConnection()
@@ -87,14 +87,14 @@
 
 @attrs.define(eq=False)
 class Listener:
-    """Notes what it hears of one request, and acts on it if a test says how.
+    """Records the outcome of one request, and reacts as a test defines.
 
     Attributes
     ----------
     outcomes : list of str
         Names of the final outcomes, with the reason if there is one.
     react : Callable
-        Called with each piece of news, by its name.
+        Called with the name of each event.
     """
 
     outcomes: list[str] = attrs.field(factory=list)
@@ -129,7 +129,7 @@
 
 @attrs.define(eq=False)
 class Beside:
-    """One backend server, the way to it, and what a test does there."""
+    """One backend server with its inbound path."""
 
     loop: ManualLoop
     inbound: Inbound
@@ -142,7 +142,7 @@
         needs_confirmation: bool = False,
         body_bytes: int = 0,
     ) -> Run:
-        """Submit a read, or a held request whose body comes later."""
+        """Submit a read, or a request whose body comes later."""
         self.number += 1
         request = Request(
             b"POST" if body_bytes else b"GET",
@@ -166,20 +166,20 @@
         return self.inbound.submit(request, listener)
 
     def leave(self) -> None:
-        """Let the server say that it leaves, long enough ago to take nothing."""
+        """Let the server leave, long enough ago to admit nothing."""
         leaving = attrs.evolve(BEAT, sequence=2, leaving=True)
         self.inbound.backend.apply_heartbeat(leaving, self.loop.now_ms)
         self.loop.now_ms += DRAIN_MS
 
     def after(self, pause_ms: float) -> None:
-        """Let time pass, with a look at everything at its end."""
+        """Advance the clock, then tick."""
         self.loop.now_ms += pause_ms
         self.inbound.tick()
         self.loop.run_due()
 
 
 def answer(run: Run) -> None:
-    """Let the server answer a request that it has."""
+    """Answer a request that was sent to the server."""
     connection = run._connection
     assert connection is not None
     connection.data_received(
--- a/tests/test_mesh_admission.py
+++ b/tests/test_mesh_admission.py
@@ -1,4 +1,4 @@
-"""Slots and queue beside a backend server."""
+"""Admission control for one backend server."""
 
 import heapq
 from collections import Counter
@@ -20,13 +20,13 @@
 
 
 def end_request(admission: Admission, done: Ticket, now_ms: float) -> list[Ticket]:
-    """Let a request end, and return those that run then."""
+    """End a request and return those that start then."""
     admission.remove(done)
     return list(iter(lambda: admission.start_next(now_ms), None))
 
 
 def remove_late(admission: Admission, now_ms: float) -> list[Ticket]:
-    """Let the late requests leave, and return them."""
+    """Remove the late requests and return them."""
     late = admission.find_late(now_ms)
     for one in late:
         admission.remove(one)
@@ -129,7 +129,7 @@
 
 
 def served_ratios(load: float, seconds: float = 20.0) -> dict[int, float]:
-    """Offer three classes in equal parts and return the share of each that ran."""
+    """Offer three priorities in equal parts; return the ratio of each that ran."""
     random = Random(11)
     admission = Admission(slots=8)
     run_ms = {0: 30.0, 1: 150.0, 2: 120.0}
@@ -171,9 +171,9 @@
 
 
 def refusal_delays_ms(load: float, seconds: float = 20.0) -> list[float]:
-    """Return how long each refused request was kept, under a load that lasts.
+    """Return how long each refused request was queued, under lasting overload.
 
-    Half of the requests come back past their objective with time to their deadline.
+    Half of the requests arrive past their objective, but before their deadline.
     """
     random = Random(5)
     admission = Admission(slots=8)
@@ -203,9 +203,7 @@
 def test_late_requests_are_refused_without_waiting() -> None:
     delays_ms = refusal_delays_ms(load=2.0)
     assert len(delays_ms) > 500
-    assert sum(delays_ms) / len(delays_ms) < 2.0, (
-        "12 ms when late requests were kept waiting"
-    )
+    assert sum(delays_ms) / len(delays_ms) < 2.0, "late requests waited"
 
 
 def test_no_request_starts_that_would_outlast_the_shutdown() -> None:
--- a/tests/test_mesh_backend.py
+++ b/tests/test_mesh_backend.py
@@ -1,4 +1,4 @@
-"""What a node believes of the backend server beside it."""
+"""State of the local backend server."""
 
 import attrs
 import pytest
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -1,4 +1,4 @@
-"""What nodes tell one another stays bounded as the fleet grows."""
+"""Traffic between nodes stays bounded as the fleet grows."""
 
 import asyncio
 import time
--- a/tests/test_mesh_choice.py
+++ b/tests/test_mesh_choice.py
@@ -1,4 +1,4 @@
-"""Which backend server a request goes to."""
+"""Selection of the backend server for a request."""
 
 from collections import Counter
 from random import Random
--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -1,4 +1,4 @@
-"""A fault of our own ends one request or one piece of work, and is told as such."""
+"""An internal error is logged and ends only the request or work it occurred in."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
     method: str,
     request_id_of: Callable[..., bytes],
 ) -> None:
-    """Let a method raise for the faulty request alone."""
+    """Make a method raise for the faulty request only."""
     sound = getattr(owner, method)
 
     def faulty(self: Any, *arguments: Any) -> Any:
@@ -56,7 +56,7 @@
 
 
 async def use_one_link(mesh: MeshFleet) -> tuple[MeshInstance, MeshInstance]:
-    """Leave one server, so that all requests of a caller go over one link."""
+    """Leave one server open, so that all requests of a caller use one link."""
     caller, remote, other = mesh.instances
     for instance in (caller, other):
         await instance.beat(mesh.session, "draining")
@@ -75,7 +75,7 @@
 async def pay_with_one_fault(
     mesh: MeshFleet, caller: MeshInstance
 ) -> tuple[int, list[int]]:
-    """Send a payment that meets the fault, and four that don't."""
+    """Send a payment that meets the fault and four that don't."""
     faulty = asyncio.create_task(pay(mesh, caller, FAULTY.decode()))
     await asyncio.sleep(0.02)
     others = await asyncio.gather(
--- a/tests/test_mesh_containment_queue.py
+++ b/tests/test_mesh_containment_queue.py
@@ -1,4 +1,4 @@
-"""A fault in one request beside a server ends that one alone, and its sender hears."""
+"""A fault in one request at a server ends only that request, with an outcome."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -24,7 +24,7 @@
 def broken(
     owner: type, method: str, faulty: Callable[..., bool] = lambda *_: True
 ) -> Iterator[None]:
-    """Let a method raise where it is called for what is faulty."""
+    """Make a method raise where ``faulty`` is true."""
     sound = getattr(owner, method)
 
     def raising(self: Any, *arguments: Any, **named: Any) -> Any:
@@ -38,7 +38,7 @@
 
 
 def occupy_slots(beside: Beside, count: int = SLOTS) -> list[Run]:
-    """Take slots with runs that last."""
+    """Occupy slots with long runs."""
     runs = [beside.submit(Listener(), LONG_MS) for _ in range(count)]
     beside.loop.run_due()
     return runs
--- a/tests/test_mesh_crashes.py
+++ b/tests/test_mesh_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash the backend servers that run them."""
+"""Quarantine of requests that crash backend servers."""
 
 import asyncio
 
--- a/tests/test_mesh_downloads.py
+++ b/tests/test_mesh_downloads.py
@@ -1,4 +1,4 @@
-"""Long answers: whole or visibly broken off, and none lost behind another."""
+"""Long answers are complete or visibly truncated, and harm no other answer."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class PausingSink:
-    """Pauses its connection at the last piece of an answer, as a full window does."""
+    """Pauses its connection at the last part of an answer, as a full window does."""
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
@@ -37,7 +37,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Notes whether reading is paused."""
+    """Records whether reading is paused."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -112,7 +112,7 @@
 
 
 async def count_runs_with_unresponsive_link(mesh: MeshFleet, answer_bytes: int) -> int:
-    """Let the link to a running read's node fall silent for a while; count its runs."""
+    """Suspend the link of a running read for a while; count the runs of the read."""
     caller, *servers = mesh.instances
     await caller.beat(mesh.session, "draining")
     await asyncio.sleep(0.05)
--- a/tests/test_mesh_health.py
+++ b/tests/test_mesh_health.py
@@ -1,4 +1,4 @@
-"""Backend servers that fail while their health probe is good."""
+"""Backend servers that fail requests while their health probes succeed."""
 
 import asyncio
 from random import Random
@@ -58,7 +58,7 @@
 
 
 def withdraw_after(beside: Beside, pause_ms: float) -> float:
-    """Withdraw a run of 1200 ms at most, and return the share of failures."""
+    """Withdraw a run with 1200 ms to its deadline; return the failure ratio."""
     listener = Listener()
     run = beside.submit(listener, 1200.0)
     beside.loop.run_due()
--- a/tests/test_mesh_idle.py
+++ b/tests/test_mesh_idle.py
@@ -1,4 +1,4 @@
-"""Idle connections that the backend server may have forgotten."""
+"""Idle connections that the backend server may have closed."""
 
 import asyncio
 
--- a/tests/test_mesh_pressure.py
+++ b/tests/test_mesh_pressure.py
@@ -1,4 +1,4 @@
-"""Shedding for the sake of the service behind the next one."""
+"""Load shedding on behalf of called services."""
 
 from azurestep.mesh.decisions.pressure import (
     CallerDetector,
--- a/tests/test_mesh_queue.py
+++ b/tests/test_mesh_queue.py
@@ -1,7 +1,7 @@
-"""One order of events beside a backend server, whatever a receiver does meanwhile.
+"""Order of events at the end of a request.
 
-A request that ends is taken off all books first, then its receiver hears of it, and
-only then the queue is looked at, from the event loop and one request at a time.
+The request is released first, then its receiver is called, and only then the queue is
+scanned, from the event loop.
 """
 
 from azurestep.http.client import ClientConnection
@@ -14,7 +14,7 @@
 
 
 def submit_waiting(beside: Beside, count: int, remaining_ms: float) -> list[Listener]:
-    """Let requests wait behind those that run."""
+    """Submit requests that wait behind the running ones."""
     listeners = [Listener() for _ in range(count)]
     for listener in listeners:
         beside.submit(listener, remaining_ms)
@@ -24,6 +24,7 @@
 
 
 def test_a_leaving_server_refuses_a_long_queue() -> None:
+    """Guards against recursion through the queue."""
     beside = make_beside(slots=1)
     beside.inbound.admission.learn("read", SHORT_MS)
     first = beside.submit(Listener(), LONG_MS)
--- a/tests/test_mesh_queue_properties.py
+++ b/tests/test_mesh_queue_properties.py
@@ -1,4 +1,4 @@
-"""The books beside a backend server agree, whatever callers and receivers do."""
+"""Queue, runs and transfers stay consistent, whatever callers and receivers do."""
 
 import contextlib
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 BODY = b"u" * 20_000
 LONGEST_MS = 3000.0
 MIN_SENT = 4
-"""Requests before the server may leave or the node may stop, which take no more."""
+"""Requests sent before the server may leave or the node may stop."""
 budgets_ms = st.sampled_from([0.0, 400.0, 1200.0, 1200.0, LONGEST_MS])
 reactions = st.sampled_from(["none", "none", "submit", "cancel", "withdraw", "fail"])
 numbers = st.integers(0, 7)
@@ -44,14 +44,14 @@
 
 @attrs.define(eq=False)
 class Sent:
-    """One request, and what is known of it to whoever sent it.
+    """One request and what its sender knows of it.
 
     Attributes
     ----------
     raised : bool
-        Whether it ended with a raised error in place of an outcome.
+        Whether it ended with a raised error instead of an outcome.
     failed_at : str
-        News at which its receiver failed.
+        Event at which its receiver failed.
     """
 
     listener: Listener
@@ -61,9 +61,9 @@
     failed_at: str = ""
 
     def expected(self, ended: bool) -> int:
-        """Return how many outcomes its receiver hears.
+        """Return how many outcomes its receiver gets.
 
-        One that failed as it was told the answer hears of that fault in the end.
+        A receiver that fails at the answer gets that fault as well.
         """
         if not ended or self.cancelled or self.raised:
             return 0
@@ -71,7 +71,7 @@
 
 
 class ServerQueueMachine(RuleBasedStateMachine):
-    """Requests that come, end and interfere with one another in any order."""
+    """Requests that arrive, end and interfere with one another in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -80,13 +80,13 @@
         self.failures = 0
         self.heartbeats = 1
 
-    # What callers, the server and time do.
+    # Rules: callers, the server and time.
 
     @initialize(
         bulk=st.booleans(), waiting=st.lists(st.tuples(reactions, numbers), max_size=5)
     )
     def fill(self, bulk: bool, waiting: list[tuple[str, int]]) -> None:
-        """Begin with all slots taken, and some requests behind them."""
+        """Occupy all slots and queue some requests."""
         self.learn(50.0)
         for _ in range(SLOTS):
             self.submit(LONGEST_MS, bulk, False, "none", 0)
@@ -115,7 +115,7 @@
         sent.run = self.find(sent)
 
     def find(self, sent: Sent) -> Run | None:
-        """Return a request's run; None once it ended, as its sender knows."""
+        """Return the run of a request; None once it ended."""
         runs = self.beside.inbound._runs.values()
         return next((run for run in runs if run.receiver is sent.listener), None)
 
@@ -212,7 +212,7 @@
             assert admission.can_end_in_time(run.ticket, now_ms)
 
     def settle(self) -> None:
-        """Look at everything until no receiver failed meanwhile."""
+        """Process everything that is due until no receiver fails."""
         failures = -1
         while failures != self.failures:
             failures = self.failures
@@ -221,7 +221,7 @@
             while self.beside.loop.due:
                 self.take_one_turn()
 
-    # What receivers do at the first news.
+    # Reactions of receivers to their first event.
 
     def once(self, sent: Sent, reaction: str, other: int) -> Callable[[str], None]:
         acts = {
@@ -257,7 +257,7 @@
             with self.ignore_receiver_errors():
                 what(sent.run)
 
-    # What holds after each step.
+    # Invariants.
 
     @invariant()
     def queue_and_runs_hold_the_same_tickets(self) -> None:
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -1,4 +1,4 @@
-"""Callers that come back after a refusal, and what it does to fresh ones."""
+"""Client retries and their effect on other requests."""
 
 import heapq
 from collections import Counter
@@ -60,11 +60,7 @@
 
 
 class Overload:
-    """Callers with one objective and two more attempts at one loaded server.
-
-    Reads of 63 ms in the mean, an objective of 200 ms and a deadline of 1,200 ms come
-    at 1.5 times what 13 slots carry for 30 s.
-    """
+    """Callers with up to two retries, at 1.5 times the capacity of one server."""
 
     SLOTS, RUN_MS, OBJECTIVE_MS, DEADLINE_MS = 13, 63.0, 200.0, 1200.0
 
@@ -137,7 +133,7 @@
 
 
 def credit(outcomes: Counter[str]) -> float:
-    """Return the credit earned, with 0.3 for a late answer."""
+    """Return the mean value of the answers, with 0.3 for a late one."""
     return (outcomes["in time"] + 0.3 * outcomes["late"]) / outcomes.total()
 
 
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -1,14 +1,4 @@
-"""A stopping node answers every request that it read whole before it ends.
-
-Two uploads were cut with the processes of two stopping nodes, 5.77 s and 5.79 s after
-SIGTERM. At the end of its grace time a node closed its idle connections and ended,
-whatever still waited elsewhere for an answer. Where those two waited is not known. On
-another day an upload that was cut in the same way had been "in the queue" for 5,888 ms,
-beside a server short of room ("load of the backend server": 6 of 6 slots, up to 19.9
-waiting); late requests stand last there until their deadline, later than the node's
-end. With requests that outlast the grace time, eight of eight callers on the stand-ins
-lost their connection.
-"""
+"""A node that shuts down answers every complete request before it exits."""
 
 import asyncio
 import socket
@@ -38,13 +28,13 @@
 from .test_mesh_refusals import only
 
 LONG_MS = 9000
-"""Longer than a stopping node lives."""
+"""Longer than a shutdown."""
 CUT = 0
-"""In place of a status: the connection ended without an answer."""
+"""Stands for a status where the connection ended without an answer."""
 
 
 def long_document(version: int, **read: object) -> bytes:
-    """Return a document whose reads may last longer than a node stops."""
+    """Return a document whose reads may outlast a shutdown."""
     route = {
         "host": "shop.example",
         "path_prefix": "/read/",
@@ -60,7 +50,7 @@
 
 @pytest_asyncio.fixture
 async def patient(mesh: MeshFleet) -> MeshFleet:
-    """Run the fleet with a route whose requests may last long."""
+    """Run the fleet with a route whose requests may be long."""
     mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, long_document(8))
     await eventually(
         lambda: all(item.node.configuration.version == 8 for item in mesh.instances)
@@ -76,7 +66,7 @@
 
 
 async def stop(instance: MeshInstance) -> None:
-    """Stop a node as SIGTERM does, and end it as its process ends."""
+    """Shut a node down as SIGTERM does, and end it as its process ends."""
     instance.node.stop()
     assert instance.task is not None
     await instance.task
@@ -140,7 +130,7 @@
 
 
 class FullTransport:
-    """Takes bytes that never leave."""
+    """Accepts bytes and never sends them."""
 
     def is_closing(self) -> bool:
         return False
@@ -156,13 +146,13 @@
 
 
 def get_bytes(name: str) -> bytes:
-    """Return a read as a caller writes it."""
+    """Return a read as a caller sends it."""
     head = "\r\n".join(f"{k}: {v}" for k, v in caller_headers(name, LONG_MS).items())
     return f"GET /read/1 HTTP/1.1\r\n{head}\r\n\r\n".encode()
 
 
 def slow_caller() -> socket.socket:
-    """Return the socket of a caller that takes few bytes at a time."""
+    """Return the socket of a caller with a small receive buffer."""
     caller = socket.socket()
     caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     caller.setblocking(False)
@@ -218,7 +208,7 @@
 
 
 def set_mean_run_ms(instance: MeshInstance, run_ms: float) -> None:
-    """Have a node know how long the reads of its server take."""
+    """Set the mean run time of reads at a node."""
     for _ in range(60):
         instance.node.inbound.admission.learn("read", run_ms)
 
@@ -315,7 +305,7 @@
     assert plan is not None
     loop = asyncio.get_running_loop()
     with socket.socket() as caller:
-        # Nothing awaits in between, so that the event loop can't accept it before.
+        # Nothing is awaited in between, so the event loop can't accept it earlier.
         caller.connect((stopping.host, CALLER_PORT))
         caller.sendall(get_bytes("w1"))
         caller.setblocking(False)
@@ -338,7 +328,7 @@
 
 
 class ListenerWithPendingCallers:
-    """A listener that callers reach while the event loop is about to close it."""
+    """A listener that callers connect to just before it is closed."""
 
     def __init__(self, server: asyncio.Server, host: str) -> None:
         self.sockets = server.sockets
@@ -359,11 +349,7 @@
 async def test_connections_accepted_only_by_the_kernel_are_refused(
     mesh: MeshFleet,
 ) -> None:
-    """A stopping node reset callers whose connections only the kernel had taken.
-
-    A busy node takes some milliseconds to come to them. In 2 of 6 runs of three stops
-    each, 3 requests that were sent 2.30 to 2.36 s after SIGTERM had no answer.
-    """
+    """Guards against resetting connections that the node had not accepted yet."""
     instance = mesh.instances[0]
     listener = ListenerWithPendingCallers(instance.node._servers[0], instance.host)
     instance.node._servers[0] = listener  # type: ignore[call-overload]
--- a/tests/test_mesh_stopping_uploads.py
+++ b/tests/test_mesh_stopping_uploads.py
@@ -1,9 +1,4 @@
-"""Uploads at a stopping node: each is answered, a refused one has not run, none twice.
-
-Uploads have no shorter timeout than their callers' patience, which is as long as a node
-stops; both requests that a stop cut were uploads, in the queue beside a server that was
-short of room.
-"""
+"""Uploads during a shutdown are answered and run at most once, never if refused."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -26,7 +21,7 @@
 
 
 def long_routes() -> dict[str, object]:
-    """Return reads and uploads that may last longer than a node stops."""
+    """Return reads and uploads that may outlast a shutdown."""
     route = {
         "host": "shop.example",
         "max_attempts": 2,
@@ -43,7 +38,7 @@
 
 @attrs.frozen
 class Stage:
-    """A fleet with one open server, whose runs outlast a stop."""
+    """A fleet with one open server, whose runs outlast a shutdown."""
 
     mesh: MeshFleet
     serving: MeshInstance
@@ -62,7 +57,7 @@
             return CUT
 
     def check(self, statuses: list[int]) -> None:
-        """Check what each upload came to."""
+        """Check the outcome of each upload."""
         assert CUT not in statuses
         for name, status in zip(NAMES, statuses, strict=True):
             runs = sum(item.server.runs[name] for item in self.mesh.instances)
@@ -72,7 +67,7 @@
 
 @pytest_asyncio.fixture
 async def stage(mesh: MeshFleet) -> Stage:
-    """Have one server open, with runs of 8.5 s."""
+    """Open one server, with runs of 8.5 s."""
     content = document(8, routes=long_routes())
     mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, content)
     await eventually(
@@ -85,7 +80,7 @@
 
 
 async def do_nothing(stage: Stage) -> None:
-    """Let the stop be all that happens."""
+    """Leave the shutdown without another event."""
 
 
 async def send_second_signal(stage: Stage) -> None:
--- a/tests/test_mesh_uploads.py
+++ b/tests/test_mesh_uploads.py
@@ -1,4 +1,4 @@
-"""Long bodies: fetched once there is a slot, a few at once."""
+"""Long request bodies: transferred once there is a slot, a few at a time."""
 
 import asyncio
 import math
@@ -19,7 +19,7 @@
     """A request that waits for its body."""
 
     def request_body(self) -> None:
-        raise AssertionError("whoever gives the turn asks, not what keeps the order")
+        raise AssertionError("BodyTransfers only keeps the order")
 
 
 @pytest.fixture
