--- a/tests/fixtures_inbound.py
+++ b/tests/fixtures_inbound.py
@@ -99,7 +99,7 @@
 
     outcomes: list[str] = attrs.field(factory=list)
     asked: int = 0
-    react: Callable[[str], None] = lambda news: None
+    react: Callable[[str], None] = lambda event: None
 
     def on_answer(self, answer: Answer) -> None:
         if answer.whole:
--- a/tests/test_mesh_queue.py
+++ b/tests/test_mesh_queue.py
@@ -60,7 +60,7 @@
     late = [beside.submit(one) for one in listeners]
     beside.loop.run_due()
 
-    def end_another(news: str) -> None:
+    def end_another(event: str) -> None:
         late[1].cancel()
         raise RuntimeError("a receiver fails")
 
--- a/tests/test_mesh_queue_properties.py
+++ b/tests/test_mesh_queue_properties.py
@@ -228,19 +228,19 @@
             "submit": lambda _: self.submit(1200.0, False, False, "none", 0),
             "cancel": lambda _: self.cancel(other),
             "withdraw": lambda _: self.withdraw(other),
-            "fail": lambda news: self.fail(sent, news),
+            "fail": lambda event: self.fail(sent, event),
         }
         due = [acts[reaction]]
 
-        def react(news: str) -> None:
+        def react(event: str) -> None:
             if due:
-                due.pop()(news)
+                due.pop()(event)
 
         return react
 
-    def fail(self, sent: Sent, news: str) -> None:
+    def fail(self, sent: Sent, event: str) -> None:
         self.failures += 1
-        sent.failed_at = news
+        sent.failed_at = event
         raise ReceiverError
 
     @contextlib.contextmanager
@@ -296,7 +296,7 @@
 
     def teardown(self) -> None:
         for sent in self.sent:
-            sent.listener.react = lambda news: None
+            sent.listener.react = lambda event: None
         self.beside.loop.now_ms += 2 * LONGEST_MS
         self.settle()
         self.each_request_has_one_outcome_or_was_cancelled()
