--- a/azurestep/mesh/callers/context.py
+++ b/azurestep/mesh/callers/context.py
@@ -1,4 +1,4 @@
-"""What the attempts of all callers of a node share, and where one of them goes."""
+"""State that all calls of a node share, and the target of one call."""
 
 import math
 from typing import Protocol
@@ -18,50 +18,50 @@
 from ..runtime import Runtime
 
 
-class OpenCall(Protocol):
-    """An attempt that is not answered yet."""
+class ActiveCall(Protocol):
+    """A call that is not answered yet."""
 
-    def end_by(self, drain_deadline_ms: float) -> None:
-        """Answer by then: the node is stopping."""
+    def limit_deadline(self, drain_deadline_ms: float) -> None:
+        """Shorten the deadline, since the node is shutting down."""
 
-    def log_cut(self) -> None:
-        """Log that the node ends before the answer."""
+    def log_aborted(self) -> None:
+        """Log that the node exits before the request is answered."""
 
 
 @attrs.define(eq=False)
 class CallContext:
-    """What the calls of a node share.
+    """State that all calls of a node share.
 
     Attributes
     ----------
     calling_service : str
-        Service of this instance, which backend servers are told.
-    under_way : set of OpenCall
-        Attempts that are not answered yet.
+        Service of this instance, sent to backend servers in a header.
+    calls_in_flight : set of ActiveCall
+        Calls that are not answered yet.
     drain_deadline_ms : float
-        When the last of them is answered; a time only once the node is stopping.
+        When the last call must be answered; infinite until the node shuts down.
     """
 
     runtime: Runtime
     members: Members
-    budget: RetryBudget
+    retry_budget: RetryBudget
     calling_service: str
     crashes: CrashTracker
     mean_run_times: MeanRunTimes = attrs.field(factory=MeanRunTimes)
     returning_callers: ReturningCallers = attrs.field(factory=ReturningCallers)
     answer_sizes: AnswerSizes = attrs.field(factory=AnswerSizes)
     refusals: RefusalMeter = attrs.field(factory=RefusalMeter)
-    under_way: set[OpenCall] = attrs.field(factory=set)
+    calls_in_flight: set[ActiveCall] = attrs.field(factory=set)
     drain_deadline_ms: float = math.inf
 
-    def end_by(self, drain_deadline_ms: float) -> None:
-        """Answer all attempts by then, those that come later too."""
+    def limit_deadline(self, drain_deadline_ms: float) -> None:
+        """Shorten the deadlines of all calls, present and future."""
         self.drain_deadline_ms = drain_deadline_ms
-        for call in list(self.under_way):
-            call.end_by(drain_deadline_ms)
+        for call in list(self.calls_in_flight):
+            call.limit_deadline(drain_deadline_ms)
 
-    def attempt(self, exchange: Exchange, caller: CallerFields) -> Attempt:
-        """Return what a request that has just come is an attempt of."""
+    def identify_attempt(self, exchange: Exchange, caller: CallerFields) -> Attempt:
+        """Return the attempt that a new request is, matched to earlier ones."""
         now_ms = self.runtime.now_ms()
         request_key = (exchange.method, caller.host, exchange.target)
         if caller.remaining_ms is None:
@@ -74,16 +74,16 @@
             request_key, first_attempt_ms, deadline_ms, first_attempt_ms < now_ms
         )
 
-    def offered(self, route: Route, service: str) -> None:
-        """Count a request for a service."""
+    def record_offered(self, route: Route, service: str) -> None:
+        """Count a request for a service, for load reports and the retry budget."""
         self.refusals.record_offered(route.name, service, route.priority)
-        self.budget.members = self.members.count()
-        self.budget.earn(service)
+        self.retry_budget.members = self.members.count()
+        self.retry_budget.earn(service)
 
 
 @attrs.frozen(slots=True)
 class Target:
-    """Where a configuration sends a request."""
+    """Route and service that the configuration chose for a request."""
 
     route: Route
     service: str
--- a/azurestep/mesh/links/interfaces.py
+++ b/azurestep/mesh/links/interfaces.py
@@ -33,12 +33,12 @@
 class CallReceiver(AnswerReceiver, Protocol):
     """What sent a request over a link."""
 
-    def on_doubt(self, let_go: bool) -> None:
+    def on_unresponsive(self, confirmed: bool) -> None:
         """Learn that the node owes a sign of life.
 
         Parameters
         ----------
-        let_go : bool
+        confirmed : bool
             Whether the request may have run; False if it surely has not.
         """
 
@@ -46,7 +46,7 @@
         """End the request: a fault of this program came while it was handled."""
 
 
-class PeerNews(Protocol):
+class FleetListener(Protocol):
     """What hears of news that concern the whole fleet, whichever node tells them."""
 
     def on_configuration(self, version: int, content: bytes) -> None:
--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -11,7 +11,7 @@
 from azurestep.mesh.backend.inbound import Inbound
 from azurestep.mesh.backend.run import Run
 from azurestep.mesh.callers.call import Call
-from azurestep.mesh.links.remote_receiver import RemoteReceiver
+from azurestep.mesh.links.outcome_forwarder import OutcomeForwarder
 
 from .fixtures_mesh import PEER_PORT, MeshFleet, MeshInstance, MeshLines
 from .test_mesh_faults import eventually, pay
@@ -136,7 +136,7 @@
     breaks(monkeypatch, Call, "on_failure", of_call)
     paying = asyncio.create_task(pay_with_one_fault(mesh, caller))
     await eventually(lambda: remote.server.running == 4)
-    for server in list(remote.node.listener.servers):
+    for server in list(remote.node.incoming_links.links):
         server.abort()
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -171,7 +171,7 @@
 ANSWER_STEPS = [
     (Run, "_classify_answer", of_run),
     (Run, "_finish_run", of_run),
-    (RemoteReceiver, "on_answer", of_stream),
+    (OutcomeForwarder, "on_answer", of_stream),
 ]
 
 
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -14,8 +14,8 @@
 from azurestep.mesh.links.connection import HANDLERS as OF_CONNECTION
 from azurestep.mesh.links.connection import PeerConnection, RemoteStream
 from azurestep.mesh.links.decoding import OF_CALLED_NODES, OF_CALLING_NODES, Decoder
-from azurestep.mesh.links.server import HANDLERS as OF_SERVER
-from azurestep.mesh.links.server import PeerServer
+from azurestep.mesh.links.incoming import HANDLERS as OF_SERVER
+from azurestep.mesh.links.incoming import IncomingLink
 from azurestep.mesh.messages import (
     PROTOCOL_VERSION,
     Answer,
@@ -97,7 +97,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch, called: bool) -> None:
         self.handled: list[Any] = []
         self.runtime = Runtime(None)  # type: ignore[arg-type]
-        self.fleet = self
+        self.fleet_listener = self
         self.inbound = None
         self.connection = None
         self.called = called
@@ -113,7 +113,7 @@
         wire = Wire()
         end: Any
         if self.called:
-            end = PeerServer(self)  # type: ignore[arg-type]
+            end = IncomingLink(self)  # type: ignore[arg-type]
         else:
             end = PeerConnection(self)  # type: ignore[arg-type]
             stream = RemoteStream(end, STREAM, self, True, True)  # type: ignore[arg-type]
@@ -233,7 +233,7 @@
 def test_a_greeting_of_a_newer_program_may_have_more_fields() -> None:
     decoder = Decoder(OF_CALLED_NODES)
     (found,) = decoder.feed(encode(Kind.HELLO, *fields_of(HELLO), "more"))
-    assert found == (decoding.WHOLE_LINK, HELLO)
+    assert found == (decoding.NO_STREAM, HELLO)
 
 
 def test_another_format_can_not_be_read() -> None:
--- a/tests/test_mesh_downloads.py
+++ b/tests/test_mesh_downloads.py
@@ -125,7 +125,7 @@
     unresponsive = next(one for one in servers if one.server.runs["m1"])
     silence(unresponsive)
     await asyncio.sleep(0.35)
-    for server in list(unresponsive.node.listener.servers):
+    for server in list(unresponsive.node.incoming_links.links):
         del server.write
     assert (await task)[0] == 200
     return sum(one.server.runs["m1"] for one in servers)
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -151,13 +151,13 @@
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     asked: list[Attempt] = []
-    original = CallContext.attempt
+    original = CallContext.identify_attempt
 
     def recording(self, exchange, caller) -> Attempt:  # type: ignore[no-untyped-def]
         asked.append(original(self, exchange, caller))
         return asked[-1]
 
-    monkeypatch.setattr(CallContext, "attempt", recording)
+    monkeypatch.setattr(CallContext, "identify_attempt", recording)
     await mesh.get(mesh.instances[0], "/read/8", "n1", 900)
     for instance in mesh.instances:
         await instance.beat(mesh.session, "draining")
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -9,7 +9,7 @@
 
 from azurestep.mesh import events
 from azurestep.mesh.incarnation import Incarnation
-from azurestep.mesh.links.remote_receiver import RemoteReceiver
+from azurestep.mesh.links.outcome_forwarder import OutcomeForwarder
 from azurestep.mesh.messages import Reason, Refusal, Request
 from azurestep.platform.topics import CONFIGURATION_KEY, OPERATOR_TOPIC
 from standins.signing_server import signed
@@ -265,7 +265,7 @@
     with slow_caller() as caller:
         await loop.sock_connect(caller, (stopping.host, CALLER_PORT))
         await loop.sock_sendall(caller, get_bytes("d1"))
-        await eventually(lambda: bool(stopping.node.calls.under_way))
+        await eventually(lambda: bool(stopping.node.calls.calls_in_flight))
         await stop(stopping)
     lines = mesh_lines.of(events.STOPPED.number, events.CALL_FAILED.number)
     cut = [line for line in lines if line["event"] == events.CALL_FAILED.number]
@@ -299,7 +299,7 @@
     for instance in mesh.instances:
         instance.server.work_s = 0.2
     held = asyncio.create_task(mesh.get(stopping, "/read/1", "held-1"))
-    await eventually(lambda: bool(stopping.node.calls.under_way))
+    await eventually(lambda: bool(stopping.node.calls.calls_in_flight))
     stopping.node.stop()
     plan = stopping.node.shutdown.plan
     assert plan is not None
@@ -318,13 +318,13 @@
 async def test_the_exit_waits_for_unsent_outcomes_but_not_for_reports(
     mesh: MeshFleet,
 ) -> None:
-    listener = mesh.instances[0].node.listener
-    server = next(iter(listener.servers))
+    incoming_links = mesh.instances[0].node.incoming_links
+    server = next(iter(incoming_links.links))
     server._transport = FullTransport()  # type: ignore[assignment]
-    listener.broadcast_state()
-    assert not listener.busy
-    RemoteReceiver(server, 1).on_refusal(Refusal(Reason.STOPPING, 0, 0.0))
-    assert listener.busy
+    incoming_links.broadcast_state()
+    assert not incoming_links.has_unsent_outcomes
+    OutcomeForwarder(server, 1).on_refusal(Refusal(Reason.STOPPING, 0, 0.0))
+    assert incoming_links.has_unsent_outcomes
 
 
 class ListenerWithPendingCallers:
