--- a/azurestep/routing/table.py
+++ b/azurestep/routing/table.py
@@ -1,4 +1,4 @@
-"""Look-up of routes by host and longest prefix, and the split of a route."""
+"""Route lookup by host and longest prefix, and weighted traffic splits."""
 
 from random import Random
 
@@ -6,14 +6,13 @@
 
 from .model import Document, Limits, Route, Service, WeightedService
 
-SKIPPED_MOST = 1000
-"""Requests of a split that are skipped at most before its first one: ten times round
-for weights in whole percents. They take some 0.5 ms, once for each split."""
+MAX_SKIPPED_REQUESTS = 1000
+"""Bound of the random start position; ten rounds for weights in whole percents."""
 
 
 @attrs.define(slots=True)
 class WeightedRoundRobin:
-    """Deals requests to the parts of a route by smooth weighted round robin.
+    """Distributes requests over services by smooth weighted round robin.
 
     Examples
     --------
@@ -24,24 +23,23 @@
     ['a', 'a', 'b', 'a']
     """
 
-    parts: tuple[WeightedService, ...]
+    weighted_services: tuple[WeightedService, ...]
     _credit: list[float] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._credit = [0.0] * len(self.parts)
+        self._credit = [0.0] * len(self.weighted_services)
 
     @classmethod
     def with_random_start(
-        cls, parts: tuple[WeightedService, ...], random: Random
+        cls, weighted_services: tuple[WeightedService, ...], random: Random
     ) -> "WeightedRoundRobin":
-        """Return a split that begins at a random place of its round.
+        """Return a split that starts at a random position of its round.
 
-        With a few requests at each node the shares of all nodes then add up to the
-        weights too: when all began with the largest part, and anew with each version,
-        13 nodes never sent any of their first three requests to a part of a tenth.
+        Otherwise all nodes would start with the largest weight, and with few requests
+        at each node the smaller services would get less than their share.
         """
-        split = cls(parts)
-        for _ in range(random.randrange(SKIPPED_MOST)):
+        split = cls(weighted_services)
+        for _ in range(random.randrange(MAX_SKIPPED_REQUESTS)):
             split.next_service()
         return split
 
@@ -49,32 +47,32 @@
         """Return the service of the next request."""
         total = 0.0
         best = 0
-        for index, part in enumerate(self.parts):
+        for index, part in enumerate(self.weighted_services):
             self._credit[index] += part.weight
             total += part.weight
             if self._credit[index] > self._credit[best]:
                 best = index
         self._credit[best] -= total
-        return self.parts[best].service
+        return self.weighted_services[best].service
 
 
 @attrs.define(slots=True)
 class RoutingTable:
-    """One version of the configuration, ready for look-ups.
+    """One version of the configuration with an index for lookups.
 
     Attributes
     ----------
     splits : dict
-        Where each route with several parts stands; kept from version to version.
+        State of each route with several services; kept across versions.
     """
 
     document: Document
     random: Random
     splits: dict[str, WeightedRoundRobin] = attrs.field(factory=dict)
-    _by_place: dict[tuple[bytes, bytes], Route] = attrs.field(init=False)
+    _routes_by_prefix: dict[tuple[bytes, bytes], Route] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._by_place = {
+        self._routes_by_prefix = {
             (route.host, route.prefix): route for route in self.document.routes
         }
 
@@ -85,7 +83,7 @@
 
     @property
     def services(self) -> dict[str, Service]:
-        """Services that a route may lead to."""
+        """Services that routes may refer to."""
         return self.document.services
 
     @property
@@ -94,28 +92,32 @@
         return self.document.limits
 
     def match(self, host: bytes, target: bytes) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest matching prefix of the path, or None."""
         path = target.partition(b"?")[0]
         end = path.rfind(b"/")
         while end >= 0:
-            route = self._by_place.get((host, path[: end + 1]))
+            route = self._routes_by_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
             end = path.rfind(b"/", 0, end)
         return None
 
     def choose_service(self, route: Route) -> str:
-        """Return the service of a route's next request, by the parts' weights."""
-        if len(route.parts) == 1:
-            return route.parts[0].service
+        """Return the service for a route's next request according to the weights."""
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
         split = self.splits.get(route.name)
-        if split is None or split.parts != route.parts:
-            split = WeightedRoundRobin.with_random_start(route.parts, self.random)
+        if split is None or split.weighted_services != route.weighted_services:
+            split = WeightedRoundRobin.with_random_start(
+                route.weighted_services, self.random
+            )
             self.splits[route.name] = split
         return split.next_service()
 
     def updated_to(self, document: Document) -> "RoutingTable":
-        """Return the table of a later document, whose splits go on where they are."""
-        names = {route.name for route in document.routes if len(route.parts) > 1}
+        """Return the table of a later document, which keeps the state of the splits."""
+        names = {
+            route.name for route in document.routes if len(route.weighted_services) > 1
+        }
         kept = {name: split for name, split in self.splits.items() if name in names}
         return RoutingTable(document, self.random, kept)
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -810,7 +810,7 @@
     names = [value for value in values if isinstance(value, str)]
     check("header_names", sorted(names))
     check("headers_of_one_connection", traffic_headers.HOP_BY_HOP)
-    check("headers_of_one_connection_platform", platform_headers.ONE_CONNECTION)
+    check("headers_of_one_connection_platform", platform_headers.HOP_BY_HOP)
 
 
 def shown(answer: web.Response) -> Any:
