--- a/azurestep/balancing/__init__.py
+++ b/azurestep/balancing/__init__.py
@@ -10,21 +10,21 @@
    directory with ``Admission.replace_endpoints`` on each change, a new
    configuration with ``configure``, load reports with ``report``.
 2. On arrival compute ``limit_budget``; answer "not run" when it is ``expired``
-   or ``too_deep``. A re-send from a caller below takes ``RetryBudget.take``
+   or ``too_deep``. A re-send from a caller below takes ``RetryBudget.spend``
    (refuse with ``RETRY_BUDGET`` if that is false), any other request counts
-   with ``first_request``.
+   with ``earn``.
 3. If ``Quarantine.active``, compute the ``fingerprint`` and ask ``standing``:
    refuse ``REFUSED``; for ``SUSPECT`` add ``Quarantine.occupied`` to ``avoid``
    and never retry. Tell ``started`` and, at the end, ``answered``, ``lost`` or
    ``ended``.
 4. ``Admission.request`` gives ``Admitted``, ``Queued`` or ``Refused``. After a
    ``Queued``, the ticket comes back in a ``Granted`` or ``Dropped`` out of any
-   later ``finished``, ``cancelled``, ``tick``, ``configure`` or
+   later ``finish``, ``cancel``, ``tick``, ``configure`` or
    ``replace_endpoints``. Call ``tick`` at ``next_tick_ms`` or every 50 ms.
 5. Send with ``next_budget``. Every ``Admitted`` or ``Granted`` ends in exactly
-   one ``finished`` when the whole answer is through; its ``latency_ms`` runs to
+   one ``finish`` when the whole answer is through; its ``latency_ms`` runs to
    the first byte of the answer.
-6. After a failure call ``finished`` first, then ``decide_retry``. For ``Retry``
+6. After a failure call ``finish`` first, then ``decide_retry``. For ``Retry``
    ask ``Admission.request`` again with the tried keys in ``avoid``. For
    ``ProbeFirst`` connect once to the same address, tell the quarantine
    ``server_died`` or ``server_alive``, and ask again with ``server_died`` set.
@@ -48,7 +48,7 @@
 >>> decision = admission.request(request)
 >>> decision.endpoint.key == key
 True
->>> admission.finished(decision.ticket, Outcome(OutcomeKind.SUCCESS, 5.0), 6.0)
+>>> admission.finish(decision.ticket, Outcome(OutcomeKind.SUCCESS, 5.0), 6.0)
 []
 """
 
--- a/azurestep/balancing/admission.py
+++ b/azurestep/balancing/admission.py
@@ -195,9 +195,7 @@
         queue.in_flight += 1
         self._balancer.start(state)
 
-    def finished(
-        self, ticket: Ticket, outcome: Outcome, now_ms: float
-    ) -> list[Release]:
+    def finish(self, ticket: Ticket, outcome: Outcome, now_ms: float) -> list[Release]:
         """Free the slot of an attempt and learn from its outcome.
 
         A ticket that already ended is ignored, so that a late answer can't free
@@ -219,7 +217,7 @@
         if outcome.kind is OutcomeKind.SUCCESS:
             self._latency.add(outcome.latency_ms)
 
-    def cancelled(self, ticket: Ticket, now_ms: float) -> list[Release]:
+    def cancel(self, ticket: Ticket, now_ms: float) -> list[Release]:
         """Take out a waiting request whose caller went away."""
         if ticket.state is TicketState.QUEUED:
             self._room.queue(ticket.request.priority).forget(ticket, dropped=False)
--- a/azurestep/balancing/retries.py
+++ b/azurestep/balancing/retries.py
@@ -34,11 +34,11 @@
     tokens: float = BUDGET_MAXIMUM
     updated_ms: float = 0.0
 
-    def first_request(self) -> None:
+    def earn(self) -> None:
         """Add a first request's share."""
         self.tokens = min(BUDGET_MAXIMUM, self.tokens + self.ratio)
 
-    def take(self, now_ms: float) -> bool:
+    def spend(self, now_ms: float) -> bool:
         """Take one retry out of the bucket; return whether there was one."""
         trickle = max(0.0, now_ms - self.updated_ms) * BUDGET_FLOOR_PER_MS
         if self.ratio > 0:
@@ -149,7 +149,7 @@
         return GiveUp(reason, not_run)
     if attempt.kind is OutcomeKind.RESET and attempt.server_died is None:
         return ProbeFirst()
-    if not budget.take(now_ms):
+    if not budget.spend(now_ms):
         return GiveUp(GiveUpReason.BUDGET, not_run)
     return Retry()
 
--- a/azurestep/control/messages.py
+++ b/azurestep/control/messages.py
@@ -191,7 +191,7 @@
 
 
 @attrs.frozen
-class CarriedCall:
+class PackedCall:
     """A caller's request as it travels to the owner of its key."""
 
     method: str
@@ -211,14 +211,14 @@
         Runs of the two nodes; a later run of the receiver ignores it.
     message : PeerMessage
         The message.
-    call : CarriedCall or None
+    call : PackedCall or None
         The request that goes with a ``ForwardedRequest``.
     """
 
     receiver_run: str
     sender_run: str
     message: PeerMessage
-    call: CarriedCall | None = None
+    call: PackedCall | None = None
 
 
 @attrs.frozen
--- a/azurestep/node/control.py
+++ b/azurestep/node/control.py
@@ -28,7 +28,7 @@
 from ..once.records import NodeId
 from ..settings import Settings
 from ..traffic.directory import DirectoryBuilder
-from ..traffic.pool import QuarantineNews
+from ..traffic.pool import QuarantineReport
 from .checkpoints import CheckpointPace
 from .messages import (
     AuditInput,
@@ -244,7 +244,7 @@
             for server in message.servers
         ]
         outputs = self.membership.change_own(servers=servers)
-        self._directory.take(self.membership.own)
+        self._directory.apply(self.membership.own)
         return outputs
 
     @_take.register
@@ -294,12 +294,12 @@
     def _(self, message: QuarantineNoticed) -> list[Output]:
         at_ms = self.environment.clock.now_ms()
         own = self.membership.own
-        updates: list[Update] = [*suspect_updates(message.news, own, at_ms)]
+        updates: list[Update] = [*suspect_updates(message.report, own, at_ms)]
         return self.membership.broadcast(updates)
 
-    def notice_quarantine(self, news: QuarantineNews) -> None:
+    def notice_quarantine(self, report: QuarantineReport) -> None:
         """Take what the proxy noticed, to tell the peers."""
-        self.inputs.put_nowait(QuarantineNoticed(news))
+        self.inputs.put_nowait(QuarantineNoticed(report))
 
     @_take.register
     def _(self, message: LeaveRequested) -> list[Output]:
--- a/azurestep/node/messages.py
+++ b/azurestep/node/messages.py
@@ -8,7 +8,7 @@
 from ..once.messages import Input
 from ..platform.records import Page
 from ..traffic.directory import Directory
-from ..traffic.pool import QuarantineNews
+from ..traffic.pool import QuarantineReport
 from ..traffic.table import RoutingTable
 
 
@@ -37,7 +37,7 @@
 class QuarantineNoticed:
     """The proxy noticed a request that crashes backend servers."""
 
-    news: QuarantineNews
+    report: QuarantineReport
 
 
 @attrs.frozen
@@ -136,7 +136,7 @@
 class QuarantineLearned:
     """Another node noticed a request that crashes backend servers."""
 
-    news: QuarantineNews
+    report: QuarantineReport
 
 
 TrafficInput = TableReady | DirectoryReady | QuarantineLearned
--- a/azurestep/node/once.py
+++ b/azurestep/node/once.py
@@ -14,7 +14,7 @@
 
 from .. import events
 from ..audit.records import RequestRun
-from ..control.messages import CarriedCall, OwnerMessage
+from ..control.messages import OwnerMessage, PackedCall
 from ..environment import Environment
 from ..errors import PlatformRefusedError
 from ..once import NodeId, OnceDecision
@@ -48,8 +48,8 @@
 from ..settings import Settings
 from ..traffic import headers
 from ..traffic.call import Call
-from ..traffic.carried import carry, request_digest, restore
-from ..traffic.once_answers import http_answer
+from ..traffic.once_answers import make_http_answer
+from ..traffic.packed_call import pack_call, request_digest, unpack_call
 from ..traffic.proxy import Proxy
 from ..traffic.single_run import RunAnswered
 from .messages import (
@@ -112,7 +112,7 @@
         self._decision = OnceDecision(self._node, "", settings.once, environment.random)
         self._decision.fold.next_offset = FIRST_OFFSET
         self._held: dict[str, HeldCall] = {}
-        self._carried: dict[tuple[NodeId, str], CarriedCall] = {}
+        self._packed_calls: dict[tuple[NodeId, str], PackedCall] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._count = 0
         self._session: aiohttp.ClientSession | None = None
@@ -124,7 +124,7 @@
         self._log = LogClient(
             self._session, self.settings.platform_url, self.environment
         )
-        self.proxy.once = self.serve
+        self.proxy.once_handler = self.serve
         self.start_event.set()
         async with asyncio.TaskGroup() as group:
             group.create_task(self._take_inputs())
@@ -153,7 +153,7 @@
         self._held[request_id] = held
         try:
             self._handle(self._arrival_of(request_id, call))
-            return http_answer(await held.answer)
+            return make_http_answer(await held.answer)
         finally:
             if held.answer.done():
                 self._held.pop(request_id, None)
@@ -190,7 +190,7 @@
         if isinstance(inner, ForwardedRequest):
             if message.message.call is None:
                 return
-            self._carried[(sender, inner.request_id)] = message.message.call
+            self._packed_calls[(sender, inner.request_id)] = message.message.call
         self._handle(PeerSent(sender, inner))
 
     def _disown(self, message: OwnerMessageReceived) -> None:
@@ -227,9 +227,9 @@
         request_id = ""
         if isinstance(inner, ForwardedRequest):
             request_id = inner.request_id
-            call = carry(self._held[request_id].call, inner.key)
+            call = pack_call(self._held[request_id].call, inner.key)
         if isinstance(inner, OwnerAnswer):
-            self._carried.pop((output.receiver, inner.request_id), None)
+            self._packed_calls.pop((output.receiver, inner.request_id), None)
         message = OwnerMessage(
             output.receiver.incarnation, self._node.incarnation, inner, call
         )
@@ -293,8 +293,8 @@
 
     def _call_of(self, run: RunHere) -> Call | None:
         if run.sender is not None:
-            carried = self._carried.pop((run.sender, run.request_id), None)
-            return self._restored(carried, run) if carried is not None else None
+            packed = self._packed_calls.pop((run.sender, run.request_id), None)
+            return self._unpack(packed, run) if packed is not None else None
         held = self._held.get(run.request_id)
         if held is None:
             return None
@@ -302,12 +302,12 @@
         held.call.fields[headers.IDEMPOTENCY_KEY] = run.key
         return held.call
 
-    def _restored(self, carried: CarriedCall, run: RunHere) -> Call | None:
+    def _unpack(self, packed: PackedCall, run: RunHere) -> Call | None:
         table = self.proxy.table
         if table is None:
             return None
         now_ms = self.environment.clock.monotonic_ms()
-        return restore(carried, table, run.remaining_ms, now_ms)
+        return unpack_call(packed, table, run.remaining_ms, now_ms)
 
     async def _append(self, output: AppendRecord) -> None:
         assert self._log is not None
--- a/azurestep/node/outcomes.py
+++ b/azurestep/node/outcomes.py
@@ -39,7 +39,7 @@
     TrafficInput,
 )
 from .owners import OwnerDirectory
-from .suspects import quarantine_news
+from .suspects import quarantine_report
 
 MEMBER_EVENTS = {
     MemberStatus.ALIVE: events.MEMBER_ALIVE,
@@ -89,7 +89,7 @@
     @perform.register
     def _(self, output: MemberChanged) -> None:
         member = output.member
-        self.directory.take(member)
+        self.directory.apply(member)
         event = MEMBER_EVENTS[MemberStatus(member.status)]
         events.emit(event, instance=member.instance)
 
@@ -98,10 +98,10 @@
         if isinstance(output.update, SuspectRequest):
             self._learn_suspect(output.update)
             return
-        self.directory.take(output.update)
+        self.directory.apply(output.update)
 
     def _learn_suspect(self, update: SuspectRequest) -> None:
-        self.traffic.put_nowait(QuarantineLearned(quarantine_news(update)))
+        self.traffic.put_nowait(QuarantineLearned(quarantine_report(update)))
         own = self.membership.own
         is_own = update.data_centre == own.data_centre
         if is_own and self.membership.bridges()[:1] == [own.instance]:
--- a/azurestep/node/owners.py
+++ b/azurestep/node/owners.py
@@ -8,7 +8,7 @@
 from ..once.records import NodeId
 from ..once.settings import KEY_SCOPE
 from ..settings import Address
-from ..traffic.directory import Placed
+from ..traffic.directory import PlacedServer
 
 SENDERS_MAXIMUM = 4096
 
@@ -29,7 +29,7 @@
         self._live: tuple[NodeId, ...] = ()
         self._others: tuple[NodeId, ...] = ()
 
-    def replace(self, service: str, placed: Iterable[Placed]) -> None:
+    def replace(self, service: str, placed: Iterable[PlacedServer]) -> None:
         """Take over the servers of a service."""
         addresses: dict[NodeId, Address] = {}
         ready = []
--- a/azurestep/node/run.py
+++ b/azurestep/node/run.py
@@ -48,7 +48,7 @@
     announce = AnnounceService(settings, environment, control.inputs)
     once = OnceService(settings, environment, traffic.proxy, control.inputs, node_run)
     control.once = once.inputs
-    traffic.proxy.on_quarantine_news = control.notice_quarantine
+    traffic.proxy.on_quarantine_report = control.notice_quarantine
     audit = AuditService(settings, environment, control, node_run)
     control.audit = audit.inputs
     once.audit = audit.inputs
--- a/azurestep/node/suspects.py
+++ b/azurestep/node/suspects.py
@@ -4,18 +4,18 @@
 
 from ..balancing import EndpointKey, QuarantineUpdate
 from ..control.updates import DeadServer, MemberState, SuspectRequest
-from ..traffic.pool import QuarantineNews
+from ..traffic.pool import QuarantineReport
 
 
 def suspect_updates(
-    news: QuarantineNews, own: MemberState, at_ms: int
+    report: QuarantineReport, own: MemberState, at_ms: int
 ) -> Iterator[SuspectRequest]:
     """Yield what peers are told of this node's quarantine."""
-    for update in news.updates:
+    for update in report.updates:
         dead = [DeadServer(k.host, k.port, k.incarnation) for k in update.deaths]
         yield SuspectRequest(
             own.data_centre,
-            news.service,
+            report.service,
             update.fingerprint,
             own.instance,
             at_ms,
@@ -24,8 +24,8 @@
         )
 
 
-def quarantine_news(update: SuspectRequest) -> QuarantineNews:
+def quarantine_report(update: SuspectRequest) -> QuarantineReport:
     """Return what the proxy is told of a peer's quarantine."""
     deaths = tuple(EndpointKey(d.host, d.port, d.incarnation) for d in update.dead)
     learned = QuarantineUpdate(update.fingerprint, deaths, update.refused_for_ms)
-    return QuarantineNews(update.service, [learned])
+    return QuarantineReport(update.service, [learned])
--- a/azurestep/node/traffic.py
+++ b/azurestep/node/traffic.py
@@ -13,8 +13,8 @@
 from ..listening import close_listener
 from ..settings import Settings
 from ..traffic.attempt import AttemptSender
-from ..traffic.caller_connection import has_next, has_unsent
-from ..traffic.connections import Connections
+from ..traffic.caller_connection import has_pipelined_request, has_unsent_bytes
+from ..traffic.connection_pool import ConnectionPool
 from ..traffic.proxy import Proxy
 from .messages import DirectoryReady, QuarantineLearned, TableReady, TrafficInput
 
@@ -47,7 +47,7 @@
         self.settings = settings
         self.environment = environment
         self.inputs = inputs
-        self._connections = Connections(environment.clock)
+        self._connections = ConnectionPool(environment.clock)
         sender = AttemptSender(self._connections, environment.clock)
         self.proxy = Proxy(settings, sender, environment.clock, environment.random)
         self._runner: web.ServerRunner | None = None
@@ -77,7 +77,7 @@
         settled_s = loop.time() + DIRECTORY_SETTLE_S
         while self.proxy.table is None:
             await asyncio.sleep(READY_CHECK_S)
-        while not self.proxy.knows_endpoints() and loop.time() < settled_s:
+        while not self.proxy.has_all_endpoints() and loop.time() < settled_s:
             await asyncio.sleep(READY_CHECK_S)
         self.proxy.ready.set()
 
@@ -123,7 +123,7 @@
 
     @_take.register
     def _(self, message: QuarantineLearned) -> None:
-        self.proxy.learn_quarantine(message.news)
+        self.proxy.merge_quarantine(message.report)
 
     async def _tick(self) -> None:
         while True:
@@ -133,7 +133,7 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_S)
-            self._connections.sweep()
+            self._connections.close_idle()
 
     async def stop_listening(self) -> None:
         """Accept no further connection; open ones stay."""
@@ -152,9 +152,9 @@
         """
         if await self._wait_until_done(timeout_s):
             return 0
-        cut = self.proxy.give_up()
+        cut = self.proxy.end_requests()
         await self._wait_until_done(LAST_ANSWERS_S)
-        cut += sum(has_unsent(caller) for caller in self._callers())
+        cut += sum(has_unsent_bytes(caller) for caller in self._callers())
         events.emit(events.REQUESTS_CUT, requests=cut)
         return cut
 
@@ -171,7 +171,10 @@
         if self.proxy.in_flight:
             return False
         callers = self._callers()
-        return not any(has_next(caller) or has_unsent(caller) for caller in callers)
+        return not any(
+            has_pipelined_request(caller) or has_unsent_bytes(caller)
+            for caller in callers
+        )
 
     def _callers(self) -> list[RequestHandler]:
         return self._server.connections if self._server is not None else []
--- a/azurestep/traffic/attempt.py
+++ b/azurestep/traffic/attempt.py
@@ -15,9 +15,9 @@
 from .backend_answer import BackendAnswer, has_body
 from .call import Call
 from .connection import BackendConnection
-from .connections import ConnectFailedError, Connections
+from .connection_pool import ConnectFailedError, ConnectionPool
 from .hedge import Exchanged, Hedge, SupersededError
-from .hedging import FirstByteTimes, HedgeBudget
+from .hedge_policy import FirstByteTimes, HedgeBudget
 from .request_head import request_head
 
 MS_PER_S = 1000
@@ -61,13 +61,13 @@
 
     Parameters
     ----------
-    connections : Connections
+    connections : ConnectionPool
         The pool.
     clock : Clock
         Source of time.
     """
 
-    def __init__(self, connections: Connections, clock: Clock) -> None:
+    def __init__(self, connections: ConnectionPool, clock: Clock) -> None:
         self._connections = connections
         self._clock = clock
         self._times: dict[str, FirstByteTimes] = {}
--- a/azurestep/traffic/backend_answer.py
+++ b/azurestep/traffic/backend_answer.py
@@ -7,7 +7,7 @@
 from ..balancing import is_whole
 from ..settings import Address
 from .connection import BackendConnection, Head
-from .connections import Connections
+from .connection_pool import ConnectionPool
 
 NO_CONTENT = 204
 NOT_MODIFIED = 304
@@ -38,7 +38,7 @@
         Where it comes from.
     address : Address
         Address of the backend server.
-    connections : Connections
+    connections : ConnectionPool
         Where the connection goes when the body is read.
     has_body : bool
         Whether a body may follow the head.
@@ -49,7 +49,7 @@
     head: Head
     connection: BackendConnection
     address: Address
-    connections: Connections
+    connections: ConnectionPool
     has_body: bool
     first_byte_ms: float
     _is_released: bool = False
--- a/azurestep/traffic/caller_connection.py
+++ b/azurestep/traffic/caller_connection.py
@@ -3,7 +3,7 @@
 from aiohttp.web_protocol import RequestHandler
 
 
-def has_next(connection: RequestHandler) -> bool:
+def has_pipelined_request(connection: RequestHandler) -> bool:
     """Return whether a request was read behind the one that is being answered.
 
     An answer that closes the connection would drop it.
@@ -11,7 +11,7 @@
     return bool(connection._messages)
 
 
-def has_unsent(connection: RequestHandler) -> bool:
+def has_unsent_bytes(connection: RequestHandler) -> bool:
     """Return whether bytes of an answer wait for the caller to take them."""
     transport = connection.transport
     return transport is not None and transport.get_write_buffer_size() > 0
--- a/azurestep/traffic/connections.py
+++ b/azurestep/traffic/connection_pool.py
@@ -37,7 +37,7 @@
     valid_from_ms: float = float("-inf")
 
 
-class Connections:
+class ConnectionPool:
     """Opens connections and keeps the idle ones, by address."""
 
     def __init__(self, clock: Clock) -> None:
@@ -108,7 +108,7 @@
         """Return the time before which connections to an address are retired."""
         return self._pool(address).valid_from_ms
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Close connections that were idle for long."""
         oldest_ms = self._clock.monotonic_ms() - IDLE_MAXIMUM_MS
         for address, pool in list(self._pools.items()):
--- a/azurestep/traffic/directory.py
+++ b/azurestep/traffic/directory.py
@@ -38,13 +38,13 @@
     endpoints: dict[str, tuple[Endpoint, ...]] = attrs.field(factory=dict)
     changed: frozenset[str] = frozenset()
 
-    def of(self, service: str) -> tuple[Endpoint, ...]:
+    def endpoints_of(self, service: str) -> tuple[Endpoint, ...]:
         """Return the endpoints of a service."""
         return self.endpoints.get(service, ())
 
 
 @attrs.frozen
-class Placed:
+class PlacedServer:
     """A backend server and where it runs."""
 
     instance: str
@@ -62,8 +62,8 @@
 
     def __init__(self, data_centre: str) -> None:
         self._data_centre = data_centre
-        self._placed: dict[str, tuple[Placed, ...]] = {}
-        self._by_service: dict[str, dict[str, tuple[Placed, ...]]] = {}
+        self._placed: dict[str, tuple[PlacedServer, ...]] = {}
+        self._by_service: dict[str, dict[str, tuple[PlacedServer, ...]]] = {}
         self._stale: set[str] = set()
         self._endpoints: dict[str, tuple[Endpoint, ...]] = {}
         self._first_seen_ms: dict[EndpointKey, float] = {}
@@ -74,7 +74,7 @@
         """Whether an update changed the backend servers of a service."""
         return bool(self._stale)
 
-    def take(self, update: Update) -> None:
+    def apply(self, update: Update) -> None:
         """Take the newest update about a member or a service."""
         key = key_of(update)
         placed = tuple(self._placed_of(update))
@@ -102,12 +102,12 @@
         self._has_started = self._has_started or bool(endpoints)
         return Directory(endpoints, changed)
 
-    def servers(self, service: str) -> Iterator[Placed]:
+    def servers(self, service: str) -> Iterator[PlacedServer]:
         """Yield the backend servers of a service."""
         for placed in self._by_service.get(service, {}).values():
             yield from placed
 
-    def _endpoint_of(self, placed: Placed, now_ms: float) -> Endpoint:
+    def _endpoint_of(self, placed: PlacedServer, now_ms: float) -> Endpoint:
         server = placed.server
         key = endpoint_key(server)
         since_ms = self._first_seen_ms.setdefault(key, self._announced_ms(now_ms))
@@ -132,12 +132,12 @@
         # A node that just started can't tell new backend servers from old ones.
         return now_ms if self._has_started else float("-inf")
 
-    def _placed_of(self, update: Update) -> Iterator[Placed]:
+    def _placed_of(self, update: Update) -> Iterator[PlacedServer]:
         if isinstance(update, MemberState) and update.status in LIVE:
             for server in update.servers:
-                yield Placed(update.instance, update.data_centre, server)
+                yield PlacedServer(update.instance, update.data_centre, server)
         if isinstance(update, ServiceSummary):
             if update.data_centre == self._data_centre:
                 return
             for server in update.servers:
-                yield Placed(server.instance, update.data_centre, server)
+                yield PlacedServer(server.instance, update.data_centre, server)
--- a/azurestep/traffic/forward.py
+++ b/azurestep/traffic/forward.py
@@ -92,12 +92,12 @@
     def check(self, pool: ServicePool, call: Call) -> Refusal | None:
         """Return the refusal of a resend over budget or of a quarantined call."""
         now_ms = self._clock.monotonic_ms()
-        if call.is_resend and not pool.budget.take(now_ms):
+        if call.is_resend and not pool.budget.spend(now_ms):
             budget = RefusalReason.RETRY_BUDGET
             wait_ms = pool.admission.retry_after_ms(budget, now_ms)
             return not_run(503, budget.value, wait_ms)
         if not call.is_resend:
-            pool.budget.first_request()
+            pool.budget.earn()
         if not pool.quarantine.active:
             return None
         standing = pool.quarantine.status_of(call.fingerprint, now_ms)
@@ -249,7 +249,7 @@
         self, call: Call, pool: ServicePool, wanted: Resume
     ) -> Sent | None:
         now_ms = self._clock.monotonic_ms()
-        if not pool.budget.take(now_ms):
+        if not pool.budget.spend(now_ms):
             return None
         timeout_ms = call.match.timeout_ms
         # The body may take longer than its head was allowed to.
--- a/azurestep/traffic/hedge.py
+++ b/azurestep/traffic/hedge.py
@@ -8,7 +8,7 @@
 from aiohttp.http_exceptions import HttpProcessingError
 
 from .connection import BackendConnection, Head
-from .connections import ConnectFailedError
+from .connection_pool import ConnectFailedError
 
 MS_PER_S = 1000
 
--- a/azurestep/traffic/hedging.py
+++ b/azurestep/traffic/hedge_policy.py
@@ -11,7 +11,7 @@
 MEAN_GAIN = 0.125
 DEVIATION_GAIN = 0.25
 DEVIATIONS = 4.0
-BOUND_MINIMUM_MS = 100.0
+MIN_HEDGE_DELAY_MS = 100.0
 BOUND_INITIAL_MS = 250.0
 TOKENS_MAXIMUM = 10.0
 TOKENS_PER_REQUEST = 0.02
@@ -59,7 +59,7 @@
         if self.is_empty:
             return BOUND_INITIAL_MS
         bound_ms = self.mean_ms + DEVIATIONS * self.deviation_ms
-        return max(BOUND_MINIMUM_MS, bound_ms)
+        return max(MIN_HEDGE_DELAY_MS, bound_ms)
 
 
 @attrs.define
--- a/azurestep/traffic/once_answers.py
+++ b/azurestep/traffic/once_answers.py
@@ -21,7 +21,7 @@
 MS_PER_S = 1000
 
 
-def http_answer(answer: AnswerCaller) -> web.Response:
+def make_http_answer(answer: AnswerCaller) -> web.Response:
     """Return the HTTP answer that says what became of a request."""
     fields: CIMultiDict[str] = CIMultiDict()
     fields[headers.OUTCOME] = answer.outcome.value
--- a/azurestep/traffic/carried.py
+++ b/azurestep/traffic/packed_call.py
@@ -5,7 +5,7 @@
 from multidict import CIMultiDict
 
 from ..balancing import Budget
-from ..control.messages import CarriedCall
+from ..control.messages import PackedCall
 from ..once.messages import Header
 from . import headers
 from .call import Call
@@ -23,7 +23,7 @@
     return digest.hexdigest()
 
 
-def carry(call: Call, key: str) -> CarriedCall:
+def pack_call(call: Call, key: str) -> PackedCall:
     """Return a call in the form that travels between nodes."""
     fields = [
         Header(name, value)
@@ -32,11 +32,11 @@
     ]
     fields.append(Header(headers.IDEMPOTENCY_KEY, key))
     host = call.fields.get("Host", "").partition(":")[0]
-    return CarriedCall(call.method, call.target, host, fields, call.body)
+    return PackedCall(call.method, call.target, host, fields, call.body)
 
 
-def restore(
-    carried: CarriedCall,
+def unpack_call(
+    packed: PackedCall,
     table: RoutingTable,
     remaining_ms: float,
     now_ms: float,
@@ -48,19 +48,19 @@
     Call or None
         None if the owner's table has no route for the request.
     """
-    fields = CIMultiDict((field.name, field.value) for field in carried.fields)
-    path = carried.target.partition("?")[0]
-    match = table.match(carried.host, path, carried.method, fields)
+    fields = CIMultiDict((field.name, field.value) for field in packed.fields)
+    path = packed.target.partition("?")[0]
+    match = table.match(packed.host, path, packed.method, fields)
     if match is None:
         return None
     depth = fields.get(headers.DEPTH, "")
     return Call(
-        carried.method,
-        carried.target,
+        packed.method,
+        packed.target,
         fields,
         table,
         match,
         Budget(remaining_ms, int(depth) if depth.isdigit() else 0),
         now_ms,
-        carried.body,
+        packed.body,
     )
--- a/azurestep/traffic/pool.py
+++ b/azurestep/traffic/pool.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class QuarantineNews:
+class QuarantineReport:
     """What this node learned about requests that crash backend servers.
 
     Attributes
@@ -47,7 +47,7 @@
     updates: list[QuarantineUpdate]
 
 
-NewsListener = Callable[[QuarantineNews], None]
+QuarantineListener = Callable[[QuarantineReport], None]
 
 
 class ServicePool:
@@ -63,7 +63,7 @@
         Where this node runs.
     source : random.Random
         Source of random choices.
-    on_news : callable
+    on_report : callable
         Told what was learned about requests that crash backend servers.
     """
 
@@ -75,14 +75,14 @@
         instance: str,
         source: random.Random,
         *,
-        on_news: NewsListener,
+        on_report: QuarantineListener,
     ) -> None:
         self.admission = Admission(service, shares, data_centre, instance, source)
         self.budget = RetryBudget(service.retry.budget_ratio)
         self.quarantine = Quarantine()
         self.endpoints: tuple[Endpoint, ...] = ()
         self._service = service
-        self._on_news = on_news
+        self._on_report = on_report
         self._dead: dict[EndpointKey, None] = {}
         self._waiting: dict[Ticket, asyncio.Future[Granted | Dropped]] = {}
 
@@ -126,7 +126,7 @@
             del self._dead[next(iter(self._dead))]
         updates = self.quarantine.record_death(key, now_ms, len(self.endpoints))
         if updates:
-            self._on_news(QuarantineNews(self._service.name, updates))
+            self._on_report(QuarantineReport(self._service.name, updates))
 
     def has_died(self, key: EndpointKey) -> bool:
         """Return whether a backend server whose connection was lost is dead."""
@@ -170,13 +170,13 @@
         was_granted = future.done() and not future.cancelled()
         if was_granted and isinstance(future.result(), Granted):
             outcome = Outcome(OutcomeKind.CANCELLED, 0.0)
-            self.settle(self.admission.finished(ticket, outcome, now_ms))
+            self.settle(self.admission.finish(ticket, outcome, now_ms))
         else:
-            self.settle(self.admission.cancelled(ticket, now_ms))
+            self.settle(self.admission.cancel(ticket, now_ms))
 
     def finish(self, ticket: Ticket, outcome: Outcome, now_ms: float) -> None:
         """End an attempt and wake who can go on."""
-        self.settle(self.admission.finished(ticket, outcome, now_ms))
+        self.settle(self.admission.finish(ticket, outcome, now_ms))
 
     def tick(self, now_ms: float) -> None:
         """Drop waiting requests whose time is over."""
--- a/azurestep/traffic/proxy.py
+++ b/azurestep/traffic/proxy.py
@@ -22,11 +22,11 @@
     is_resend,
     target_of,
 )
-from .caller_connection import has_next
+from .caller_connection import has_pipelined_request
 from .directory import Directory
 from .forward import Forwarder
 from .latency import AddedLatency, LatencySummary
-from .pool import NewsListener, QuarantineNews, ServicePool
+from .pool import QuarantineListener, QuarantineReport, ServicePool
 from .request_body import keep_body
 from .single_run import RunFailed, RunResult, run_single
 from .table import RoutingTable
@@ -44,7 +44,7 @@
 
     Attributes
     ----------
-    on_quarantine_news : callable
+    on_quarantine_report : callable
         Told what this node learned about requests that crash backend servers,
         so that the other nodes can be told.
     ready : asyncio.Event
@@ -58,7 +58,7 @@
         clock: Clock,
         source: random.Random,
     ) -> None:
-        self.on_quarantine_news: NewsListener = _ignore
+        self.on_quarantine_report: QuarantineListener = _ignore
         self._settings = settings
         self._clock = clock
         self._random = source
@@ -71,7 +71,7 @@
         self._is_draining = False
         self._is_closed = False
         self.ready = asyncio.Event()
-        self.once: OnceHandler | None = None
+        self.once_handler: OnceHandler | None = None
 
     @property
     def in_flight(self) -> int:
@@ -88,11 +88,11 @@
         """Whether any backend server is known."""
         return bool(self._directory.endpoints)
 
-    def knows_endpoints(self) -> bool:
+    def has_all_endpoints(self) -> bool:
         """Whether every service of the table has a backend server."""
         if self._table is None:
             return False
-        return all(self._directory.of(name) for name in self._table.services)
+        return all(self._directory.endpoints_of(name) for name in self._table.services)
 
     def latency_summary(self) -> LatencySummary:
         """Return the distribution of the time that this node adds."""
@@ -106,10 +106,10 @@
         """Refuse every request that comes from now on, as not run."""
         self._is_draining = self._is_closed = True
 
-    def give_up(self) -> int:
+    def end_requests(self) -> int:
         """Bring all requests to a final answer; return how many there were."""
         self.close()
-        return self._under_way.give_up()
+        return self._under_way.end_requests()
 
     def swap_table(self, table: RoutingTable) -> None:
         """Put a whole new table in force by one assignment."""
@@ -129,27 +129,27 @@
             self._settings.data_centre,
             self._settings.instance,
             self._random,
-            on_news=self._tell_news,
+            on_report=self._publish_quarantine,
         )
-        pool.replace_endpoints(self._directory.of(name), now_ms)
+        pool.replace_endpoints(self._directory.endpoints_of(name), now_ms)
         return pool
 
-    def _tell_news(self, news: QuarantineNews) -> None:
-        self.on_quarantine_news(news)
+    def _publish_quarantine(self, report: QuarantineReport) -> None:
+        self.on_quarantine_report(report)
 
     def swap_directory(self, directory: Directory) -> None:
         """Take over the present backend servers of every service."""
         now_ms = self._clock.monotonic_ms()
         self._directory = directory
         for name in directory.changed & self._pools.keys():
-            self._pools[name].replace_endpoints(directory.of(name), now_ms)
+            self._pools[name].replace_endpoints(directory.endpoints_of(name), now_ms)
 
-    def learn_quarantine(self, news: QuarantineNews) -> None:
+    def merge_quarantine(self, report: QuarantineReport) -> None:
         """Take over what another node learned."""
-        pool = self._pools.get(news.service)
+        pool = self._pools.get(report.service)
         if pool is not None:
             now_ms = self._clock.monotonic_ms()
-            pool.quarantine.merge(news.updates, now_ms, len(pool.endpoints))
+            pool.quarantine.merge(report.updates, now_ms, len(pool.endpoints))
 
     def report_load(self, service: str, report: LoadReport) -> None:
         """Take a backend server's own word as a hint."""
@@ -171,7 +171,7 @@
         if (
             self._is_draining
             and not response.prepared
-            and not has_next(request.protocol)
+            and not has_pipelined_request(request.protocol)
         ):
             response.force_close()
         return response
@@ -209,9 +209,9 @@
         refusal = await self._read_body(request, call)
         if refusal is not None:
             return refusal
-        if not call.match.idempotent and self.once is not None:
+        if not call.match.idempotent and self.once_handler is not None:
             passage.is_at_owner = True
-            return await self.once(call)
+            return await self.once_handler(call)
         return await self.run(request, call)
 
     async def run_single(self, call: Call) -> RunResult:
@@ -288,5 +288,5 @@
         return await self._forwarder.run(pool, request, call)
 
 
-def _ignore(news: QuarantineNews) -> None:
+def _ignore(report: QuarantineReport) -> None:
     return
--- a/azurestep/traffic/relay.py
+++ b/azurestep/traffic/relay.py
@@ -18,7 +18,7 @@
 from .backend_answer import BackendAnswer, BodyCutError
 from .call import Call
 from .caller_answer import WrittenCallback, stream_answer, whole_answer
-from .caller_connection import has_next
+from .caller_connection import has_pipelined_request
 
 SMALL_BODY_BYTES = 64 * 1024
 STALL_RESUMABLE_S = 2.0
@@ -112,7 +112,7 @@
 
     async def _relay_stream(self, request: web.BaseRequest) -> web.StreamResponse:
         response = stream_answer(self.answer, self.is_final)
-        if self.call.is_draining and not has_next(request.protocol):
+        if self.call.is_draining and not has_pipelined_request(request.protocol):
             response.force_close()
         await response.prepare(request)
         self.on_written()
--- a/azurestep/traffic/under_way.py
+++ b/azurestep/traffic/under_way.py
@@ -65,7 +65,7 @@
         """Forget a request that has its answer."""
         self._passages.discard(passage)
 
-    def give_up(self) -> int:
+    def end_requests(self) -> int:
         """End the time of all requests; return how many there were."""
         now_s = asyncio.get_running_loop().time()
         for passage in self._passages:
--- a/bench/amplification.py
+++ b/bench/amplification.py
@@ -63,7 +63,7 @@
 class NoBudget(RetryBudget):
     """Allows every retry."""
 
-    def take(self, now_ms: float) -> bool:
+    def spend(self, now_ms: float) -> bool:
         """Allow the retry."""
         return True
 
@@ -114,9 +114,9 @@
 
     def _enters(self, budget: RetryBudget, resend: bool) -> bool:
         if not resend:
-            budget.first_request()
+            budget.earn()
             return True
-        return budget.take(self.now_ms)
+        return budget.spend(self.now_ms)
 
 
 def measure(
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -106,7 +106,7 @@
     endpoints : int
         Backend servers of the service.
     median_us, p99_us : float
-        Microseconds for ``request`` and ``finished`` together.
+        Microseconds for ``request`` and ``finish`` together.
     """
 
     endpoints: int
@@ -128,7 +128,7 @@
         request = RequestArrived(Priority.INTERACTIVE, now_ms, now_ms + 500.0)
         running.append(admission.request(request).ticket)
         if len(running) > endpoints:
-            admission.finished(running.pop(0), outcome, now_ms)
+            admission.finish(running.pop(0), outcome, now_ms)
         times_us.append((time.perf_counter_ns() - begun_ns) / 1000)
     return DecisionTime(
         endpoints, percentile(times_us, 0.5), percentile(times_us, 0.99)
--- a/bench/queueing_nodes.py
+++ b/bench/queueing_nodes.py
@@ -162,7 +162,7 @@
 
     def arrive(self, request: CallerRequest) -> None:
         """Ask for admission of a first attempt."""
-        self.budget.first_request()
+        self.budget.earn()
         self._ask(request)
 
     def _ask(self, request: CallerRequest) -> None:
@@ -196,7 +196,7 @@
         def answer(kind: OutcomeKind, latency_ms: float) -> None:
             now_ms = self.timeline.now_ms
             outcome = Outcome(kind, latency_ms)
-            releases = self.admission.finished(ticket, outcome, now_ms)
+            releases = self.admission.finish(ticket, outcome, now_ms)
             self._conclude(request, kind)
             self._take(releases)
 
--- a/bench/silent_path.py
+++ b/bench/silent_path.py
@@ -19,7 +19,7 @@
 from azurestep.node.messages import DirectoryReady, TableReady
 from azurestep.node.traffic import TrafficService
 from azurestep.settings import Settings
-from azurestep.traffic import hedging
+from azurestep.traffic import hedge_policy
 from azurestep.traffic.directory import Directory
 from azurestep.traffic.table import RoutingTable
 from standins.backend_server import BackendServer
@@ -167,12 +167,12 @@
     """Measure with hedging, and without."""
     machine = machine_facts()
     hedged = await recover()
-    bound_ms = hedging.BOUND_MINIMUM_MS
-    hedging.BOUND_MINIMUM_MS = NEVER_MS
+    bound_ms = hedge_policy.MIN_HEDGE_DELAY_MS
+    hedge_policy.MIN_HEDGE_DELAY_MS = NEVER_MS
     try:
         not_hedged = await recover()
     finally:
-        hedging.BOUND_MINIMUM_MS = bound_ms
+        hedge_policy.MIN_HEDGE_DELAY_MS = bound_ms
     return SilentPath(hedged, not_hedged, at_end(machine))
 
 
--- a/tests/test_balancing_core.py
+++ b/tests/test_balancing_core.py
@@ -52,14 +52,14 @@
 def test_freed_slot_goes_to_the_one_that_waits(admission):
     admitted = fill(admission)
     waiting = admission.request(request_at(2.0))
-    released = admission.finished(admitted[0].ticket, SUCCESS, 6.0)
+    released = admission.finish(admitted[0].ticket, SUCCESS, 6.0)
     assert released == [Granted(waiting.ticket, admitted[0].endpoint)]
 
 
 def test_a_ticket_frees_its_slot_once(admission):
     admitted = fill(admission)
-    admission.finished(admitted[0].ticket, SUCCESS, 6.0)
-    admission.finished(admitted[0].ticket, SUCCESS, 6.0)
+    admission.finish(admitted[0].ticket, SUCCESS, 6.0)
+    admission.finish(admitted[0].ticket, SUCCESS, 6.0)
     assert isinstance(admission.request(request_at(7.0)), Admitted)
     assert isinstance(admission.request(request_at(7.0)), Queued)
 
@@ -76,7 +76,7 @@
 
 def test_waiting_request_is_dropped_when_it_would_be_late(admission):
     admitted = fill(admission)
-    admission.finished(admitted[0].ticket, Outcome(OutcomeKind.SUCCESS, 50.0), 60.0)
+    admission.finish(admitted[0].ticket, Outcome(OutcomeKind.SUCCESS, 50.0), 60.0)
     admission.request(request_at(61.0))
     waiting = admission.request(request_at(61.0, timeout_ms=300.0))
     assert admission.next_tick_ms() == 311.0
--- a/tests/test_balancing_limits.py
+++ b/tests/test_balancing_limits.py
@@ -97,7 +97,7 @@
         if isinstance(decision, Admitted):
             admitted += 1
             outcome = Outcome(kind, latency_ms)
-            admission.finished(decision.ticket, outcome, now_ms + latency_ms)
+            admission.finish(decision.ticket, outcome, now_ms + latency_ms)
         else:
             assert isinstance(decision, Refused)
             assert decision.reason is RefusalReason.OVERLOAD
@@ -131,7 +131,7 @@
             continue
         kind = OutcomeKind.TIMEOUT if source.random() < 0.02 else OutcomeKind.SUCCESS
         outcome = Outcome(kind, latency_ms)
-        admission.finished(decision.ticket, outcome, now_ms + latency_ms)
+        admission.finish(decision.ticket, outcome, now_ms + latency_ms)
     assert refused < 30
 
 
@@ -148,7 +148,7 @@
             refused += 1
             continue
         outcome = Outcome(OutcomeKind.SUCCESS, latency_ms)
-        admission.finished(decision.ticket, outcome, now_ms + latency_ms)
+        admission.finish(decision.ticket, outcome, now_ms + latency_ms)
     assert refused < 20
 
 
@@ -186,7 +186,7 @@
         now_ms = 25.0 * number
         while running and running[0][0] <= now_ms:
             ended_ms, ticket, outcome = running.pop(0)
-            assert admission.finished(ticket, outcome, ended_ms) == []
+            assert admission.finish(ticket, outcome, ended_ms) == []
         priority = kinds[number % 4]
         request = RequestArrived(priority, now_ms, now_ms + 1000.0)
         decision = admission.request(request)
--- a/tests/test_balancing_queueing.py
+++ b/tests/test_balancing_queueing.py
@@ -61,7 +61,7 @@
     older = admission.request(request_at(2.0)).ticket
     newer = admission.request(request_at(3.0)).ticket
     admission.tick(200.0)
-    released = admission.finished(tickets[0], SUCCESS, 201.0)
+    released = admission.finish(tickets[0], SUCCESS, 201.0)
     assert granted_tickets(released) == [newer]
     assert older.state is TicketState.QUEUED
 
@@ -73,7 +73,7 @@
     for _ in range(400):
         now_ms += 10.0
         waiting = admission.request(request_at(now_ms)).ticket
-        released = admission.finished(tickets.pop(0), SUCCESS, now_ms)
+        released = admission.finish(tickets.pop(0), SUCCESS, now_ms)
         tickets += granted_tickets(released)
         assert waiting in tickets
         if admission.waiting() == 0:
@@ -94,7 +94,7 @@
             decision = admission.request(request_at(now_ms))
             refusals += isinstance(decision, Refused)
         for ticket in granted_tickets(
-            admission.finished(tickets.pop(0), SUCCESS, now_ms)
+            admission.finish(tickets.pop(0), SUCCESS, now_ms)
         ):
             tickets.append(ticket)
             waits.append(now_ms - ticket.request.now_ms)
@@ -107,7 +107,7 @@
     admission.request(request_at(2.0))
     admission.request(request_at(2.0))
     payment = admission.request(request_at(3.0, Priority.PAYMENT)).ticket
-    assert granted_tickets(admission.finished(tickets[0], SUCCESS, 5.0)) == [payment]
+    assert granted_tickets(admission.finish(tickets[0], SUCCESS, 5.0)) == [payment]
 
 
 def test_bulk_holds_no_more_than_its_share():
@@ -128,8 +128,8 @@
 def test_a_cancelled_waiter_is_never_granted(busy):
     admission, tickets = busy
     waiting = admission.request(request_at(2.0)).ticket
-    admission.cancelled(waiting, 3.0)
-    assert admission.finished(tickets[0], SUCCESS, 4.0) == []
+    admission.cancel(waiting, 3.0)
+    assert admission.finish(tickets[0], SUCCESS, 4.0) == []
     assert admission.waiting() == 0
 
 
@@ -187,13 +187,13 @@
             ticket = self.running.pop(index % len(self.running))
             self.ended.add(ticket)
             outcome = Outcome(kind, 5.0)
-            self.take(self.admission.finished(ticket, outcome, self.now_ms))
+            self.take(self.admission.finish(ticket, outcome, self.now_ms))
 
     def cancel(self, _, index, __):
         if self.waiting:
             ticket = self.waiting.pop(index % len(self.waiting))
             self.ended.add(ticket)
-            self.take(self.admission.cancelled(ticket, self.now_ms))
+            self.take(self.admission.cancel(ticket, self.now_ms))
 
     def tick(self, *_):
         self.take(self.admission.tick(self.now_ms))
--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -84,10 +84,10 @@
     for is_first, step_ms in events:
         now_ms += step_ms
         if is_first:
-            budget.first_request()
+            budget.earn()
             first += 1
         else:
-            granted += budget.take(now_ms)
+            granted += budget.spend(now_ms)
     assert granted <= 10 + ratio * first + 0.001 * now_ms + 1e-6
 
 
--- a/tests/test_control_directory.py
+++ b/tests/test_control_directory.py
@@ -16,8 +16,8 @@
 def endpoints_at(node):
     builder = DirectoryBuilder(node.sender.data_centre)
     for update in node.membership.table.updates():
-        builder.take(update)
-    return builder.build(0.0).of("catalogue")
+        builder.apply(update)
+    return builder.build(0.0).endpoints_of("catalogue")
 
 
 def everywhere(network, is_leaving):
--- a/tests/test_once_former_run.py
+++ b/tests/test_once_former_run.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from azurestep.control.messages import CarriedCall, OwnerMessage
+from azurestep.control.messages import OwnerMessage, PackedCall
 from azurestep.environment import Environment
 from azurestep.node.messages import OwnerMessageReceived
 from azurestep.node.once import OnceService
@@ -10,7 +10,7 @@
 from azurestep.once.peers import ForwardedRequest
 from azurestep.settings import Settings
 
-CALL = CarriedCall("POST", "/licences", "host", [], b"")
+CALL = PackedCall("POST", "/licences", "host", [], b"")
 REQUEST = ForwardedRequest("r-1", "fleet", "key", "digest", 1000)
 
 
@@ -28,4 +28,4 @@
     assert reply.message.receiver_run == "peer-run"
     assert reply.message.message.reason is Reason.NOT_OWNER
     assert reply.message.message.outcome is Outcome.MAY_HAVE_RUN
-    assert once._carried == {}
+    assert once._packed_calls == {}
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -84,7 +84,7 @@
 from azurestep.node.messages import MemberView, NodeStatus
 from azurestep.node.operators import CONVERTER as OPERATOR_CONVERTER
 from azurestep.node.operators import OperatorService
-from azurestep.node.suspects import quarantine_news, suspect_updates
+from azurestep.node.suspects import quarantine_report, suspect_updates
 from azurestep.once import messages as deciding
 from azurestep.once import records as ownership
 from azurestep.once.assignment import preferred_owner
@@ -110,10 +110,10 @@
 from azurestep.traffic import answers as traffic_answers
 from azurestep.traffic import headers as traffic_headers
 from azurestep.traffic.call import Call
-from azurestep.traffic.carried import carry, request_digest
 from azurestep.traffic.directory import endpoint_key
-from azurestep.traffic.once_answers import http_answer
-from azurestep.traffic.pool import QuarantineNews
+from azurestep.traffic.once_answers import make_http_answer
+from azurestep.traffic.packed_call import pack_call, request_digest
+from azurestep.traffic.pool import QuarantineReport
 from azurestep.traffic.request_head import request_head
 from azurestep.traffic.table import RoutingTable
 from bench.fleet import free_ports
@@ -451,7 +451,7 @@
     ),
 ]
 KEPT = deciding.KeptAnswer(200, (deciding.Header("ETag", "x"),), b"\xffok", True)
-CARRIED = messages.CarriedCall(
+CARRIED = messages.PackedCall(
     "POST", "/pay?x=1", "pay.example", [deciding.Header("A", "b")], b"\x00body"
 )
 
@@ -726,12 +726,12 @@
 
 
 def test_suspect_requests_as_nodes_of_the_product_tell_them() -> None:
-    news = QuarantineNews("songs", CRASHES)
+    news = QuarantineReport("songs", CRASHES)
     own = UPDATES[0]
     assert isinstance(own, updates.MemberState)
     found = list(suspect_updates(news, own, 7))
     check("suspect_updates", [attrs.astuple(one) for one in found])
-    assert [quarantine_news(one) for one in found] == [news]
+    assert [quarantine_report(one) for one in found] == [news]
 
 
 # Headers, requests and answers
@@ -802,7 +802,7 @@
 
 def test_request_carried_to_its_owner() -> None:
     check("request_digest", request_digest(sample_call()))
-    check("carried_call", attrs.astuple(carry(sample_call(), "k")))
+    check("carried_call", attrs.astuple(pack_call(sample_call(), "k")))
 
 
 def test_names_of_headers() -> None:
@@ -850,7 +850,7 @@
 
 
 def test_answers_to_requests_that_must_not_repeat() -> None:
-    found = {name: shown(http_answer(one)) for name, one in once_answers().items()}
+    found = {name: shown(make_http_answer(one)) for name, one in once_answers().items()}
     check("once_answers", found)
 
 
--- a/tests/test_suspect_requests.py
+++ b/tests/test_suspect_requests.py
@@ -11,10 +11,10 @@
 from azurestep.node.messages import QuarantineLearned
 from azurestep.node.suspects import suspect_updates
 from azurestep.settings import Settings
-from azurestep.traffic.pool import QuarantineNews
+from azurestep.traffic.pool import QuarantineReport
 
 KEYS = (EndpointKey("127.0.0.1", 8001, 7), EndpointKey("127.0.0.1", 8002, 9))
-NEWS = QuarantineNews("catalogue", [QuarantineUpdate(42, KEYS, 60_000)])
+REPORT = QuarantineReport("catalogue", [QuarantineUpdate(42, KEYS, 60_000)])
 PEER = Sender("i-2", "dc-1", 1, "127.0.0.1", 7002)
 
 
@@ -28,11 +28,11 @@
     control: ControlService,
 ) -> None:
     own = control.membership.own
-    updates = [*suspect_updates(NEWS, own, 1)]
+    updates = [*suspect_updates(REPORT, own, 1)]
     frame = encode(PEER, Broadcast("i-2", [*updates]))
     control._take_message(decode(frame))
     learned = control.traffic.get_nowait()
-    assert learned == QuarantineLearned(NEWS)
+    assert learned == QuarantineLearned(REPORT)
 
 
 def test_suspect_requests_are_passed_on_once_and_never_synced(
@@ -40,7 +40,7 @@
 ) -> None:
     table = UpdateTable()
     hash_before = table.hash(only_global=False)
-    update = next(suspect_updates(NEWS, control.membership.own, 1))
+    update = next(suspect_updates(REPORT, control.membership.own, 1))
     assert table.merge(update)
     assert not table.merge(update)
     assert list(table.updates()) == []
@@ -50,6 +50,6 @@
 def test_the_table_of_suspect_requests_is_bounded(control: ControlService) -> None:
     table = UpdateTable()
     for fingerprint in range(3000):
-        news = QuarantineNews("s", [QuarantineUpdate(fingerprint, KEYS, 1)])
-        table.merge(next(suspect_updates(news, control.membership.own, 1)))
+        report = QuarantineReport("s", [QuarantineUpdate(fingerprint, KEYS, 1)])
+        table.merge(next(suspect_updates(report, control.membership.own, 1)))
     assert len(table._passing) == 1024
--- a/tests/test_traffic_last_answers.py
+++ b/tests/test_traffic_last_answers.py
@@ -15,11 +15,11 @@
 import pytest_asyncio
 
 from azurestep.config.model import LimitRule
-from azurestep.control.messages import CarriedCall
+from azurestep.control.messages import PackedCall
 from azurestep.environment import Environment
 from azurestep.node import run
 from azurestep.once.messages import Header
-from azurestep.traffic.carried import restore
+from azurestep.traffic.packed_call import unpack_call
 from azurestep.traffic.single_run import RunFailed
 from tests.fixtures_traffic import SERVICE
 
@@ -96,7 +96,7 @@
     async def ask_owner(call):
         await never.wait()
 
-    narrow.traffic.proxy.once = ask_owner
+    narrow.traffic.proxy.once_handler = ask_owner
     slow = get(f"/songs?delay_ms={LONG_MS}")
     requests = {
         "at work": (narrow, slow),
@@ -165,9 +165,9 @@
 
 
 def a_call(table, target):
-    carried = CarriedCall("GET", target, "x", [Header("Host", "x")], b"")
+    packed = PackedCall("GET", target, "x", [Header("Host", "x")], b"")
     now_ms = Environment().clock.monotonic_ms()
-    return restore(carried, table, LONG_MS, now_ms)
+    return unpack_call(packed, table, LONG_MS, now_ms)
 
 
 async def test_a_late_request_is_served_where_nothing_was_given_up(
--- a/tests/test_traffic_retries.py
+++ b/tests/test_traffic_retries.py
@@ -7,7 +7,7 @@
 
 from azurestep.balancing import EndpointKey, QuarantineUpdate
 from azurestep.config.model import RetryRule
-from azurestep.traffic.pool import QuarantineNews
+from azurestep.traffic.pool import QuarantineReport
 
 from .fixtures_traffic import SERVICE
 
@@ -114,8 +114,8 @@
 ):
     servers = [await start_backend_server() for _ in range(20)]
     rig = await start_traffic(*(server.address.port for server in servers))
-    news = []
-    rig.traffic.proxy.on_quarantine_news = news.append
+    reports = []
+    rig.traffic.proxy.on_quarantine_report = reports.append
     url = f"{rig.url}/poison"
     answers = [await fetch(http, url, headers=CRASH) for _ in range(4)]
     harmless = await fetch(http, f"{rig.url}/songs")
@@ -125,8 +125,8 @@
     assert answers[-1][1]["Azurestep-Not-Run"] == "1"
     assert sum(server.counts.started for server in servers) == 3
     assert harmless[0] == 200
-    assert news[-1].service == "catalogue"
-    assert len(news[-1].updates[0].deaths) == 2
+    assert reports[-1].service == "catalogue"
+    assert len(reports[-1].updates[0].deaths) == 2
 
 
 async def test_news_of_another_node_refuse_at_once(
@@ -138,7 +138,7 @@
     call_fingerprint = await _fingerprint_of(http, start_backend_server, start_traffic)
     deaths = tuple(EndpointKey("127.0.0.1", port, 1) for port in (1, 2))
     update = QuarantineUpdate(call_fingerprint, deaths, 60_000.0)
-    learner.traffic.proxy.learn_quarantine(QuarantineNews("catalogue", [update]))
+    learner.traffic.proxy.merge_quarantine(QuarantineReport("catalogue", [update]))
     status, headers, _ = await fetch(http, f"{learner.url}/poison")
     assert (status, headers["Azurestep-Reason"]) == (503, "quarantined")
 
@@ -146,10 +146,10 @@
 async def _fingerprint_of(http, start_backend_server, start_traffic):
     server = await start_backend_server()
     rig = await start_traffic(server.address.port)
-    news = []
-    rig.traffic.proxy.on_quarantine_news = news.append
+    reports = []
+    rig.traffic.proxy.on_quarantine_report = reports.append
     await fetch(http, f"{rig.url}/poison", headers=CRASH)
-    return news[0].updates[0].fingerprint
+    return reports[0].updates[0].fingerprint
 
 
 async def test_a_lost_connection_to_a_living_server_is_no_death(
@@ -157,10 +157,10 @@
 ):
     server = await start_raw_server([None], [], [OK])
     rig = await start_traffic(server.port)
-    news = []
-    rig.traffic.proxy.on_quarantine_news = news.append
+    reports = []
+    rig.traffic.proxy.on_quarantine_report = reports.append
     status, _, _ = await fetch(http, f"{rig.url}/songs")
-    assert (status, news) == (200, [])
+    assert (status, reports) == (200, [])
 
 
 async def test_a_refused_connection_is_tried_elsewhere(
