--- a/azurestep/balancing/__init__.py
+++ b/azurestep/balancing/__init__.py
@@ -21,7 +21,7 @@
    ``Queued``, the ticket comes back in a ``Granted`` or ``Dropped`` out of any
    later ``finish``, ``cancel``, ``tick``, ``configure`` or
    ``replace_endpoints``. Call ``tick`` at ``next_tick_ms`` or every 50 ms.
-5. Send with ``next_budget``. Every ``Admitted`` or ``Granted`` ends in exactly
+5. Send with ``reduce_budget``. Every ``Admitted`` or ``Granted`` ends in exactly
    one ``finish`` when the whole answer is through; its ``latency_ms`` runs to
    the first byte of the answer.
 6. After a failure call ``finish`` first, then ``decide_retry``. For ``Retry``
@@ -30,8 +30,8 @@
    ``server_died`` or ``server_alive``, and ask again with ``server_died`` set.
    ``GiveUp.mark_final`` goes into the ``Azurestep-Retried`` header of the answer;
    set ``marked_final`` when a backend server's answer carries it.
-7. When a body ends too soon, ``decide_cut`` says how to go on; check the head
-   of a resumed answer with ``continues``. Never end a body that ``is_whole``
+7. When a body ends too soon, ``decide_resumption`` says how to go on; check the head
+   of a resumed answer with ``is_continuation``. Never end a body that ``is_whole``
    denies as though it were complete.
 
 Examples
@@ -61,7 +61,7 @@
 )
 from .admission import Admission
 from .choice import Balancer
-from .deadlines import Budget, limit_budget, next_budget
+from .deadlines import DeadlineBudget, limit_budget, reduce_budget
 from .limiter import LimiterKind
 from .messages import (
     Admitted,
@@ -94,12 +94,12 @@
 )
 from .whole_answers import (
     Abort,
-    CutAnswer,
     Resume,
     ResumedAnswer,
     RetryElsewhere,
-    continues,
-    decide_cut,
+    TruncatedAnswer,
+    decide_resumption,
+    is_continuation,
     is_whole,
 )
 
@@ -109,8 +109,8 @@
     "Admission",
     "Admitted",
     "Balancer",
-    "Budget",
-    "CutAnswer",
+    "DeadlineBudget",
+    "TruncatedAnswer",
     "Decision",
     "Discipline",
     "Dropped",
@@ -141,11 +141,11 @@
     "QuarantineStatus",
     "Ticket",
     "TicketState",
-    "continues",
-    "decide_cut",
+    "is_continuation",
+    "decide_resumption",
     "decide_retry",
     "fingerprint",
     "is_whole",
     "limit_budget",
-    "next_budget",
+    "reduce_budget",
 ]
--- a/azurestep/balancing/admission.py
+++ b/azurestep/balancing/admission.py
@@ -24,14 +24,14 @@
     Ticket,
     TicketState,
 )
-from .queueing import ClassQueue, Discipline, WaitingRoom, share_of
+from .queueing import ClassQueue, ClassQueues, Discipline, share_of
 from .rates import RateMeter, SmoothedMean
 from .throttle import Throttle
 
-RETRY_AFTER_MINIMUM_MS = 50.0
-RETRY_AFTER_MAXIMUM_MS = 10_000.0
-RETRY_AFTER_DEFAULT_MS = 1000.0
-SLOWEST_DRAIN_PER_MS = 0.001
+MIN_RETRY_AFTER_MS = 50.0
+MAX_RETRY_AFTER_MS = 10_000.0
+DEFAULT_RETRY_AFTER_MS = 1000.0
+MIN_DRAIN_PER_MS = 0.001
 
 
 class Admission:
@@ -71,7 +71,7 @@
         self._shares = shares
         self._source = source
         self._balancer = Balancer(service, data_centre, instance, source, limiter)
-        self._room = WaitingRoom(discipline)
+        self._queues = ClassQueues(discipline)
         self._drain = RateMeter()
         self._latency = SmoothedMean()
         self._throttle = Throttle()
@@ -95,7 +95,7 @@
 
     def waiting(self) -> int:
         """Return the number of waiting requests."""
-        return self._room.waiting()
+        return self._queues.waiting()
 
     def configure(
         self, service: Service, shares: ClassShares, now_ms: float
@@ -124,12 +124,12 @@
         self._balancer.review(now_ms)
         if now_ms >= request.deadline_ms:
             return self._refuse(RefusalReason.DEADLINE, now_ms)
-        queue = self._room.queue(request.priority)
+        queue = self._queues.queue(request.priority)
         if not self._class_is_open(queue):
             return self._refuse(RefusalReason.CLASS_CLOSED, now_ms)
-        if self._throttled and not self._passes(request):
+        if self._throttled and not self._passes_throttle(request):
             return self._refuse(RefusalReason.OVERLOAD, now_ms)
-        if self._waits_first(queue):
+        if self._must_wait(queue):
             return self._enqueue(request, queue)
         state = self._balancer.choose(request.avoid)
         if state is None:
@@ -138,14 +138,14 @@
         self._start(ticket, queue, state)
         return Admitted(ticket, state.endpoint)
 
-    def _passes(self, request: RequestArrived) -> bool:
-        drawn = self._source.random()
-        return self._throttle.passes(request.priority, request.now_ms, drawn)
+    def _passes_throttle(self, request: RequestArrived) -> bool:
+        random_value = self._source.random()
+        return self._throttle.admits(request.priority, request.now_ms, random_value)
 
     def _class_is_open(self, queue: ClassQueue) -> bool:
         return share_of(self._shares, queue.priority) > 0
 
-    def _waits_first(self, queue: ClassQueue) -> bool:
+    def _must_wait(self, queue: ClassQueue) -> bool:
         return queue.length > 0 or not self._within_share(queue)
 
     def _within_share(self, queue: ClassQueue) -> bool:
@@ -163,17 +163,17 @@
         limits = self._service.limits
         if queue.length >= limits.queue_length:
             return self._refuse(RefusalReason.QUEUE_FULL, now_ms)
-        latest_ms = request.deadline_ms - self.expected_ms
-        allowed_ms = queue.allowed_wait_ms(limits.queue_timeout_ms, now_ms)
-        expiry_ms = min(latest_ms, now_ms + allowed_ms)
-        wait_ms = queue.expected_wait_ms(self._usual_interval_ms(), now_ms)
+        latest_start_ms = request.deadline_ms - self.expected_ms
+        max_wait_ms = queue.max_wait_ms(limits.queue_timeout_ms, now_ms)
+        expiry_ms = min(latest_start_ms, now_ms + max_wait_ms)
+        wait_ms = queue.expected_wait_ms(self._mean_interval_ms(), now_ms)
         if now_ms + wait_ms > expiry_ms:
             return self._refuse(RefusalReason.DEADLINE, now_ms)
         ticket = Ticket(request)
-        self._room.push(ticket, now_ms, expiry_ms)
+        self._queues.push(ticket, now_ms, expiry_ms)
         return Queued(ticket)
 
-    def _usual_interval_ms(self) -> float:
+    def _mean_interval_ms(self) -> float:
         return self._latency.value / max(1.0, self._balancer.capacity)
 
     def _refuse(self, reason: RefusalReason, now_ms: float) -> Refused:
@@ -181,12 +181,12 @@
 
     def retry_after_ms(self, reason: RefusalReason, now_ms: float) -> float:
         """Return a jittered time after which a caller may ask again."""
-        base_ms = RETRY_AFTER_DEFAULT_MS
+        base_ms = DEFAULT_RETRY_AFTER_MS
         drain = self._drain.per_ms(now_ms)
-        shut = reason in (RefusalReason.NO_ENDPOINT, RefusalReason.CLASS_CLOSED)
-        if not shut and drain >= SLOWEST_DRAIN_PER_MS:
-            base_ms = (self._room.waiting() + 1) / drain
-        base_ms = max(RETRY_AFTER_MINIMUM_MS, min(RETRY_AFTER_MAXIMUM_MS, base_ms))
+        is_closed = reason in (RefusalReason.NO_ENDPOINT, RefusalReason.CLASS_CLOSED)
+        if not is_closed and drain >= MIN_DRAIN_PER_MS:
+            base_ms = (self._queues.waiting() + 1) / drain
+        base_ms = max(MIN_RETRY_AFTER_MS, min(MAX_RETRY_AFTER_MS, base_ms))
         return base_ms * (0.5 + self._source.random())
 
     def _start(self, ticket: Ticket, queue: ClassQueue, state: EndpointState) -> None:
@@ -204,14 +204,16 @@
         if ticket.state is not TicketState.GRANTED or ticket.endpoint is None:
             return []
         ticket.state = TicketState.DONE
-        self._room.queue(ticket.request.priority).in_flight -= 1
-        self._learn(ticket.endpoint, outcome, now_ms)
+        self._queues.queue(ticket.request.priority).in_flight -= 1
+        self._record_outcome(ticket.endpoint, outcome, now_ms)
         return self._release(now_ms)
 
-    def _learn(self, endpoint: Endpoint, outcome: Outcome, now_ms: float) -> None:
+    def _record_outcome(
+        self, endpoint: Endpoint, outcome: Outcome, now_ms: float
+    ) -> None:
         self._balancer.finish(endpoint, outcome, now_ms)
-        if outcome.kind in LIMIT_KINDS and self._throttle.collect(outcome, now_ms):
-            self._throttle.judge(self._balancer.limits_bite(), now_ms)
+        if outcome.kind in LIMIT_KINDS and self._throttle.record(outcome, now_ms):
+            self._throttle.update_ratio(self._balancer.limits_binding(), now_ms)
         if outcome.kind is not OutcomeKind.CANCELLED:
             self._drain.add(now_ms)
         if outcome.kind is OutcomeKind.SUCCESS:
@@ -220,7 +222,7 @@
     def cancel(self, ticket: Ticket, now_ms: float) -> list[Release]:
         """Take out a waiting request whose caller went away."""
         if ticket.state is TicketState.QUEUED:
-            self._room.queue(ticket.request.priority).forget(ticket, dropped=False)
+            self._queues.queue(ticket.request.priority).remove(ticket, dropped=False)
         return self._release(now_ms)
 
     def tick(self, now_ms: float) -> list[Release]:
@@ -230,13 +232,13 @@
 
     def next_tick_ms(self) -> float | None:
         """Return when ``tick`` has to be called at the latest, or None."""
-        return self._room.next_expiry_ms()
+        return self._queues.next_expiry_ms()
 
     def _release(self, now_ms: float) -> list[Release]:
         releases: list[Release] = []
-        for ticket in self._room.expired(now_ms):
+        for ticket in self._queues.expired(now_ms):
             releases.append(self._drop(ticket, now_ms))
-        if self._room.waiting():
+        if self._queues.waiting():
             self._grant_all(releases, now_ms)
         return releases
 
@@ -253,16 +255,16 @@
             releases.append(granted)
 
     def _grant_one(self, now_ms: float) -> Granted | None:
-        for queue in self._room.order(self._shares):
+        for queue in self._queues.in_serving_order(self._shares):
             if not self._within_share(queue):
                 continue
-            ticket = queue.next_ticket(now_ms)
+            ticket = queue.peek(now_ms)
             if ticket is None:
                 continue
             state = self._balancer.choose(ticket.request.avoid)
             if state is None:
                 continue
-            queue.take(now_ms)
+            queue.pop(now_ms)
             self._start(ticket, queue, state)
             return Granted(ticket, state.endpoint)
         return None
--- a/azurestep/balancing/choice.py
+++ b/azurestep/balancing/choice.py
@@ -5,15 +5,15 @@
 
 from ..config.model import Service
 from .ejection import OutlierDetector
-from .endpoint_state import EndpointState, Pool
+from .endpoint_state import DataCentrePool, EndpointState
 from .limiter import LimiterKind, make_limiter
 from .messages import Endpoint, EndpointKey, LoadReport, Outcome
 
 REVIEW_INTERVAL_MS = 250.0
 IDLE_RATIO = 0.25
 BUSY_RATIO = 0.5
-LIMITS_PER_MEMBER = 2.0
-OWN_LATENCY_RATIO = 1.5
+MIN_MEAN_LIMIT = 2.0
+MAX_LOCAL_LATENCY_RATIO = 1.5
 REPORTED_LOAD_WEIGHT = 0.3
 UNHEALTHY_WEIGHT = 0.5
 
@@ -22,7 +22,7 @@
     """Chooses among the backend servers of one service.
 
     The choice takes constant time: two random members of a list of those that
-    are fit and have a free slot. What needs all members is done by ``review``,
+    are eligible and have a free slot. What needs all members is done by ``review``,
     at most every ``REVIEW_INTERVAL_MS``.
 
     Parameters
@@ -53,28 +53,30 @@
         self._limiter = limiter or adaptive or LimiterKind.FIXED
         self._detector = OutlierDetector(service.selection)
         self._states: dict[EndpointKey, EndpointState] = {}
-        self._pools: dict[str, Pool] = {}
-        self._local = Pool(data_centre)
-        self._remote: list[Pool] = []
-        self._own: EndpointState | None = None
+        self._pools: dict[str, DataCentrePool] = {}
+        self._local_pool = DataCentrePool(data_centre)
+        self._remote_pools: list[DataCentrePool] = []
+        self._local_server: EndpointState | None = None
         self._next_review_ms = float("-inf")
 
     @property
     def capacity(self) -> float:
         """Requests that this node may have in flight at the service."""
-        return self._local.capacity + sum(pool.capacity for pool in self._remote)
+        return self._local_pool.capacity + sum(
+            pool.capacity for pool in self._remote_pools
+        )
 
     @property
-    def pools(self) -> list[Pool]:
+    def pools(self) -> list[DataCentrePool]:
         """Backend servers by data centre, the node's own one first."""
-        return [self._local, *self._remote]
+        return [self._local_pool, *self._remote_pools]
 
-    def limits_bite(self) -> bool:
+    def limits_binding(self) -> bool:
         """Return whether this node's limits are in use and can still fall."""
         capacity = self.capacity
-        in_flight = sum(pool.in_flight for pool in self.pools)
-        falling = capacity >= LIMITS_PER_MEMBER * len(self._states)
-        return falling and in_flight >= BUSY_RATIO * capacity
+        in_flight = sum(pool.total_in_flight for pool in self.pools)
+        can_fall = capacity >= MIN_MEAN_LIMIT * len(self._states)
+        return can_fall and in_flight >= BUSY_RATIO * capacity
 
     def knows_any(self) -> bool:
         """Return whether any backend server may get new requests."""
@@ -88,38 +90,42 @@
 
     def replace(self, endpoints: Iterable[Endpoint], now_ms: float) -> None:
         """Take over the directory's present list; records of those kept stay."""
-        known = self._states
+        previous_states = self._states
         self._states = {}
         for endpoint in endpoints:
-            state = known.get(endpoint.key)
+            state = previous_states.get(endpoint.key)
             if state is None or state.endpoint.slots != endpoint.slots:
                 state = self._make_state(endpoint, state)
             state.endpoint = endpoint
             self._states[endpoint.key] = state
-        self._regroup()
+        self._group_by_data_centre()
         self._next_review_ms = float("-inf")
         self.review(now_ms)
 
     def _make_state(
-        self, endpoint: Endpoint, former: EndpointState | None
+        self, endpoint: Endpoint, previous: EndpointState | None
     ) -> EndpointState:
         slots = max(1, min(endpoint.slots, self._service.limits.slots))
         limiter = make_limiter(self._limiter, slots)
         state = EndpointState(endpoint, limiter, ramp_start_ms=endpoint.announced_ms)
-        if former is not None:
-            state.outstanding = former.outstanding
+        if previous is not None:
+            state.in_flight = previous.in_flight
         return state
 
-    def _regroup(self) -> None:
-        pools: dict[str, Pool] = {}
-        self._own = None
+    def _group_by_data_centre(self) -> None:
+        pools: dict[str, DataCentrePool] = {}
+        self._local_server = None
         for state in self._states.values():
-            place = state.endpoint.data_centre
-            pools.setdefault(place, Pool(place)).members.append(state)
+            data_centre = state.endpoint.data_centre
+            pools.setdefault(data_centre, DataCentrePool(data_centre)).members.append(
+                state
+            )
             if state.endpoint.instance == self._instance:
-                self._own = state
-        self._local = pools.pop(self._data_centre, Pool(self._data_centre))
-        self._remote = list(pools.values())
+                self._local_server = state
+        self._local_pool = pools.pop(
+            self._data_centre, DataCentrePool(self._data_centre)
+        )
+        self._remote_pools = list(pools.values())
         self._pools = {pool.data_centre: pool for pool in self.pools}
 
     def report(self, report: LoadReport) -> None:
@@ -128,9 +134,9 @@
         if state is None:
             return
         load = max(0.0, min(1.0, report.load))
-        state.hint = 1.0 - REPORTED_LOAD_WEIGHT * load
+        state.report_weight = 1.0 - REPORTED_LOAD_WEIGHT * load
         if not report.healthy:
-            state.hint *= UNHEALTHY_WEIGHT
+            state.report_weight *= UNHEALTHY_WEIGHT
         state.update_weight()
 
     def review(self, now_ms: float) -> None:
@@ -140,26 +146,26 @@
         self._next_review_ms = now_ms + REVIEW_INTERVAL_MS
         states = list(self._states.values())
         self._detector.restore(states, now_ms)
-        for state in self._detector.outliers(states):
+        for state in self._detector.find_outliers(states):
             self._detector.eject(state, states, now_ms)
         for state in states:
-            self._detector.forgive(state, now_ms)
-            state.recover(self._detector.peer_latency_ms)
+            self._detector.decay_ejections(state, now_ms)
+            state.decay_penalties(self._detector.peer_latency_ms)
             self._ramp(state, now_ms)
         for pool in self.pools:
             pool.rebuild()
 
     def _ramp(self, state: EndpointState, now_ms: float) -> None:
-        duration_ms = self._service.selection.ramp_up_ms
-        if duration_ms <= 0:
+        ramp_duration_ms = self._service.selection.ramp_up_ms
+        if ramp_duration_ms <= 0:
             state.ramp = 1.0
         else:
-            progress = (now_ms - state.ramp_start_ms) / duration_ms
+            progress = (now_ms - state.ramp_start_ms) / ramp_duration_ms
             state.ramp = max(0.0, min(1.0, progress))
         state.update_weight()
 
     def choose(self, avoid: tuple[EndpointKey, ...] = ()) -> EndpointState | None:
-        """Return a fit backend server with a free slot, or None.
+        """Return an eligible backend server with a free slot, or None.
 
         Parameters
         ----------
@@ -168,38 +174,48 @@
         """
         if avoid and not self._has_other(avoid):
             avoid = ()
-        own = self._own
-        if own is not None and self._prefers(own) and own.key not in avoid:
-            return own
-        local = self._local.pick(self._source, avoid)
-        if not self._remote:
+        local_server = self._local_server
+        if (
+            local_server is not None
+            and self._prefers_local_server(local_server)
+            and local_server.key not in avoid
+        ):
+            return local_server
+        local = self._local_pool.pick(self._source, avoid)
+        if not self._remote_pools:
             return local
-        used = self._local.utilisation()
-        if local is not None and used < self._service.selection.spill_over_ratio:
+        local_utilisation = self._local_pool.utilisation()
+        if (
+            local is not None
+            and local_utilisation < self._service.selection.spill_over_ratio
+        ):
             return local
-        return self._spill_over(local, used, avoid)
+        return self._spill_over(local, local_utilisation, avoid)
 
     def _has_other(self, avoid: tuple[EndpointKey, ...]) -> bool:
-        return any(s.fit and k not in avoid for k, s in self._states.items())
+        return any(s.eligible and k not in avoid for k, s in self._states.items())
 
-    def _prefers(self, own: EndpointState) -> bool:
-        if own.position < 0 or own.ramp < 1.0:
+    def _prefers_local_server(self, local_server: EndpointState) -> bool:
+        if local_server.available_index < 0 or local_server.ramp < 1.0:
             return False
-        if own.outstanding >= IDLE_RATIO * own.limiter.limit:
+        if local_server.in_flight >= IDLE_RATIO * local_server.limiter.limit:
             return False
-        peers = self._local.available
+        peers = self._local_pool.available
         peer = peers[int(self._source.random() * len(peers))]
-        return own.latency_ms <= OWN_LATENCY_RATIO * peer.latency_ms or (
+        return local_server.latency_ms <= MAX_LOCAL_LATENCY_RATIO * peer.latency_ms or (
             peer.latency_ms == 0.0
         )
 
     def _spill_over(
-        self, local: EndpointState | None, used: float, avoid: tuple[EndpointKey, ...]
+        self,
+        local: EndpointState | None,
+        local_utilisation: float,
+        avoid: tuple[EndpointKey, ...],
     ) -> EndpointState | None:
         if local is None:
-            used = float("inf")
-        for pool in sorted(self._remote, key=Pool.utilisation):
-            if pool.utilisation() >= used:
+            local_utilisation = float("inf")
+        for pool in sorted(self._remote_pools, key=DataCentrePool.utilisation):
+            if pool.utilisation() >= local_utilisation:
                 return local
             remote = pool.pick(self._source, avoid)
             if remote is not None:
@@ -208,11 +224,11 @@
 
     def start(self, state: EndpointState) -> None:
         """Count an attempt that is about to be sent."""
-        state.outstanding += 1
+        state.in_flight += 1
         pool = self._pools[state.endpoint.data_centre]
-        if state.fit:
-            pool.in_flight += 1
-        pool.refresh(state)
+        if state.eligible:
+            pool.total_in_flight += 1
+        pool.update_availability(state)
 
     def finish(self, endpoint: Endpoint, outcome: Outcome, now_ms: float) -> None:
         """Count the end of an attempt and learn from it."""
@@ -221,14 +237,14 @@
             return
         pool = self._pools[state.endpoint.data_centre]
         limit = state.limiter.limit
-        state.observe(outcome, now_ms)
-        state.outstanding = max(0, state.outstanding - 1)
-        if state.fit:
-            pool.in_flight -= 1
+        state.record_outcome(outcome, now_ms)
+        state.in_flight = max(0, state.in_flight - 1)
+        if state.eligible:
+            pool.total_in_flight -= 1
             pool.capacity += state.limiter.limit - limit
-        if state.fit and self._detector.failing(state):
+        if state.eligible and self._detector.should_eject(state):
             self._eject(state, now_ms)
-        pool.refresh(state)
+        pool.update_availability(state)
 
     def _eject(self, state: EndpointState, now_ms: float) -> None:
         states = list(self._states.values())
--- a/azurestep/balancing/deadlines.py
+++ b/azurestep/balancing/deadlines.py
@@ -3,11 +3,11 @@
 import attrs
 
 HOP_ALLOWANCE_MS = 2.0
-MAXIMUM_DEPTH = 32
+MAX_DEPTH = 32
 
 
 @attrs.frozen
-class Budget:
+class DeadlineBudget:
     """Time that a request has left at a hop.
 
     Attributes
@@ -29,10 +29,12 @@
     @property
     def too_deep(self) -> bool:
         """Whether the calls most likely go round in a circle."""
-        return self.depth > MAXIMUM_DEPTH
+        return self.depth > MAX_DEPTH
 
 
-def limit_budget(remaining_ms: float | None, depth: int, timeout_ms: float) -> Budget:
+def limit_budget(
+    remaining_ms: float | None, depth: int, timeout_ms: float
+) -> DeadlineBudget:
     """Return the budget of a request at its arrival.
 
     Parameters
@@ -47,18 +49,18 @@
     Examples
     --------
     >>> limit_budget(None, 0, 2000.0)
-    Budget(remaining_ms=2000.0, depth=0)
+    DeadlineBudget(remaining_ms=2000.0, depth=0)
     >>> limit_budget(300.0, 2, 2000.0)
-    Budget(remaining_ms=300.0, depth=2)
+    DeadlineBudget(remaining_ms=300.0, depth=2)
     """
     if remaining_ms is None:
-        return Budget(timeout_ms, depth)
-    return Budget(min(remaining_ms, timeout_ms), depth)
+        return DeadlineBudget(timeout_ms, depth)
+    return DeadlineBudget(min(remaining_ms, timeout_ms), depth)
 
 
-def next_budget(
-    budget: Budget, spent_ms: float, allowance_ms: float = HOP_ALLOWANCE_MS
-) -> Budget:
+def reduce_budget(
+    budget: DeadlineBudget, spent_ms: float, allowance_ms: float = HOP_ALLOWANCE_MS
+) -> DeadlineBudget:
     """Return what is told to the backend server.
 
     The allowance keeps time for the answer's way back, so that the inner call
@@ -66,8 +68,8 @@
 
     Examples
     --------
-    >>> next_budget(Budget(300.0, 2), 48.0)
-    Budget(remaining_ms=250.0, depth=3)
+    >>> reduce_budget(DeadlineBudget(300.0, 2), 48.0)
+    DeadlineBudget(remaining_ms=250.0, depth=3)
     """
     remaining_ms = budget.remaining_ms - spent_ms - allowance_ms
-    return Budget(remaining_ms, budget.depth + 1)
+    return DeadlineBudget(remaining_ms, budget.depth + 1)
--- a/azurestep/balancing/ejection.py
+++ b/azurestep/balancing/ejection.py
@@ -7,16 +7,16 @@
 from ..config.model import SelectionRule
 from .endpoint_state import EndpointState
 
-CONSECUTIVE_FAILURES = 5
-PROBATION_FAILURES = 2
+EJECT_AFTER_FAILURES = 5
+EJECT_AFTER_PROBATION_FAILURES = 2
 PROBATION_SAMPLES = 10
-MINIMUM_SAMPLES = 10
-SUCCESS_GAP = 0.3
-PEERS_FAILING = 0.5
-LATENCY_RATIO = 3.0
+MIN_SAMPLES = 10
+MAX_SUCCESS_GAP = 0.3
+MIN_PEER_SUCCESS_RATIO = 0.5
+MAX_LATENCY_RATIO = 3.0
 LATENCY_MARGIN_MS = 10.0
-MAXIMUM_DOUBLINGS = 6
-NEVER_MS = float("-inf")
+MAX_DOUBLINGS = 6
+NOT_EJECTED_MS = float("-inf")
 
 
 @attrs.define
@@ -31,37 +31,48 @@
     ----------
     rule : SelectionRule
         Largest ejected share and duration of a first ejection.
-    peer_success : float
-        Median smoothed success of the fit ones at the last review.
+    peer_success_ratio : float
+        Median smoothed success of the eligible ones at the last review.
     peer_latency_ms : float
         Their median smoothed latency; 0 while too few are known.
     """
 
     rule: SelectionRule
-    peer_success: float = 1.0
+    peer_success_ratio: float = 1.0
     peer_latency_ms: float = 0.0
 
-    def failing(self, state: EndpointState) -> bool:
+    def should_eject(self, state: EndpointState) -> bool:
         """Return whether the last failure in a row is one too many."""
-        returned = state.ejections > 0 and state.samples < PROBATION_SAMPLES
-        allowed = PROBATION_FAILURES if returned else CONSECUTIVE_FAILURES
-        return state.failures >= allowed and self.peer_success > PEERS_FAILING
+        on_probation = state.ejections > 0 and state.samples < PROBATION_SAMPLES
+        threshold = (
+            EJECT_AFTER_PROBATION_FAILURES if on_probation else EJECT_AFTER_FAILURES
+        )
+        return (
+            state.consecutive_failures >= threshold
+            and self.peer_success_ratio > MIN_PEER_SUCCESS_RATIO
+        )
 
-    def outliers(self, states: list[EndpointState]) -> list[EndpointState]:
-        """Return the fit ones that are far worse than the median, worst first."""
-        sampled = [s for s in states if s.fit and s.samples >= MINIMUM_SAMPLES]
+    def find_outliers(self, states: list[EndpointState]) -> list[EndpointState]:
+        """Return the eligible ones that are far worse than the median, worst first."""
+        sampled = [s for s in states if s.eligible and s.samples >= MIN_SAMPLES]
         if len(sampled) < 2:
-            self.peer_success = 1.0
+            self.peer_success_ratio = 1.0
             self.peer_latency_ms = 0.0
             return []
-        self.peer_success = statistics.median_high(s.success for s in sampled)
+        self.peer_success_ratio = statistics.median_high(
+            s.success_ratio for s in sampled
+        )
         self.peer_latency_ms = statistics.median_low(s.latency_ms for s in sampled)
-        slow_ms = LATENCY_RATIO * self.peer_latency_ms + LATENCY_MARGIN_MS
-        lowest = self.peer_success - SUCCESS_GAP
-        found = [s for s in sampled if s.success < lowest or s.latency_ms > slow_ms]
-        return sorted(found, key=lambda s: (s.success, -s.latency_ms))
+        max_latency_ms = MAX_LATENCY_RATIO * self.peer_latency_ms + LATENCY_MARGIN_MS
+        min_success_ratio = self.peer_success_ratio - MAX_SUCCESS_GAP
+        outliers = [
+            s
+            for s in sampled
+            if s.success_ratio < min_success_ratio or s.latency_ms > max_latency_ms
+        ]
+        return sorted(outliers, key=lambda s: (s.success_ratio, -s.latency_ms))
 
-    def allowed(self, states: list[EndpointState]) -> int:
+    def max_ejected(self, states: list[EndpointState]) -> int:
         """Return how many of the service's backend servers may be ejected."""
         count = sum(not state.endpoint.leaving for state in states)
         if count < 2 or self.rule.ejection_ratio <= 0:
@@ -73,9 +84,9 @@
     ) -> bool:
         """Eject the backend server unless the cap is reached."""
         ejected = sum(s.ejected for s in states if not s.endpoint.leaving)
-        if not state.fit or ejected >= self.allowed(states):
+        if not state.eligible or ejected >= self.max_ejected(states):
             return False
-        doublings = min(state.ejections, MAXIMUM_DOUBLINGS)
+        doublings = min(state.ejections, MAX_DOUBLINGS)
         state.ejected_until_ms = now_ms + self.rule.ejection_ms * 2**doublings
         state.ejections += 1
         return True
@@ -84,20 +95,20 @@
         """Return the ejected whose time is over, or that exceed the cap."""
         ejected = [s for s in states if s.ejected and not s.endpoint.leaving]
         ejected.sort(key=lambda s: s.ejected_until_ms)
-        excess = max(0, len(ejected) - self.allowed(states))
+        excess = max(0, len(ejected) - self.max_ejected(states))
         restored = False
         for index, state in enumerate(ejected):
             if index >= excess and state.ejected_until_ms > now_ms:
                 continue
-            state.ejected_until_ms = NEVER_MS
+            state.ejected_until_ms = NOT_EJECTED_MS
             state.ramp_start_ms = now_ms
-            state.forget()
+            state.clear()
             restored = True
         return restored
 
-    def forgive(self, state: EndpointState, now_ms: float) -> None:
+    def decay_ejections(self, state: EndpointState, now_ms: float) -> None:
         """Halve the memory of ejections after a healthy stretch."""
-        healthy = state.samples >= 10 * PROBATION_SAMPLES and state.success > 0.9
+        healthy = state.samples >= 10 * PROBATION_SAMPLES and state.success_ratio > 0.9
         if state.ejections == 0 or state.ejected or not healthy:
             return
         if now_ms - state.ramp_start_ms > 2 * self.rule.ejection_ms:
--- a/azurestep/balancing/limiter.py
+++ b/azurestep/balancing/limiter.py
@@ -9,19 +9,19 @@
 from .messages import Outcome, OutcomeKind
 
 WINDOW_SAMPLES = 8
-WINDOW_MINIMUM_MS = 100.0
+MIN_WINDOW_MS = 100.0
 LATENCY_TOLERANCE = 2.0
 BASELINE_DRIFT = 1.003
-BASELINE_FALL = 0.1
-BASELINE_RISE = 0.02
-SIGNIFICANT_ERRORS = 3.0
+BASELINE_FALL_GAIN = 0.1
+BASELINE_RISE_GAIN = 0.02
+SLOW_STANDARD_ERRORS = 3.0
 OVERLOAD_RATIO = 0.25
-OVERLOAD_SIGNS = 2
-WINDOW_FEWEST_SAMPLES = 2
-LEARNING_SAMPLES = 64
-DECREASE = 0.8
-STRONGEST_DECREASE = 0.5
-GRADIENT_MINIMUM = 0.5
+MIN_OVERLOAD_SIGNS = 2
+MIN_WINDOW_SAMPLES = 2
+MIN_BASELINE_SAMPLES = 64
+DECREASE_FACTOR = 0.8
+MIN_DECREASE_FACTOR = 0.5
+MIN_GRADIENT = 0.5
 GRADIENT_SMOOTHING = 0.3
 BUSY_RATIO = 0.5
 
@@ -39,7 +39,7 @@
 
     limit: float
 
-    def sample(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
         """Take one finished attempt into account."""
         ...
 
@@ -50,7 +50,7 @@
 
     limit: float
 
-    def sample(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
         """Ignore the sample."""
 
 
@@ -73,22 +73,22 @@
     ----------
     tolerance : float
         Multiple of the baseline from which a mean is slow.
-    patience_ms : float
+    max_age_ms : float
         Age from which a window with fewer samples is full too.
     baseline_ms, deviation_ms : float
         Usual latency and its mean absolute deviation.
     slow_windows : int
         Slow windows in a row; a single one may be chance and is learnt from.
-    learnt : int
+    baseline_samples : int
         Answers that the baseline rests on; before there are
-        ``LEARNING_SAMPLES``, no mean is called slow.
+        ``MIN_BASELINE_SAMPLES``, no mean is called slow.
     """
 
     tolerance: float = LATENCY_TOLERANCE
-    patience_ms: float = math.inf
+    max_age_ms: float = math.inf
     baseline_ms: float = 0.0
     deviation_ms: float = 0.0
-    learnt: int = 0
+    baseline_samples: int = 0
     slow_windows: int = 0
     total_ms: float = 0.0
     total_deviation_ms: float = 0.0
@@ -96,15 +96,15 @@
     refusals: int = 0
     timeouts: int = 0
     peak_in_flight: int = 0
-    begun_ms: float = math.nan
+    started_ms: float = math.nan
 
     def add(self, outcome: Outcome, in_flight: int, now_ms: float) -> bool:
         """Add a sample; return whether the window is full."""
         sent_ms = now_ms - outcome.latency_ms
-        if sent_ms < self.begun_ms:
+        if sent_ms < self.started_ms:
             return False
-        if math.isnan(self.begun_ms):
-            self.begun_ms = sent_ms
+        if math.isnan(self.started_ms):
+            self.started_ms = sent_ms
         self.samples += 1
         self.peak_in_flight = max(self.peak_in_flight, in_flight)
         if outcome.kind is OutcomeKind.SHED:
@@ -113,50 +113,50 @@
             self.total_ms += outcome.latency_ms
             self.total_deviation_ms += abs(outcome.latency_ms - self.baseline_ms)
             self.timeouts += outcome.kind is OutcomeKind.TIMEOUT
-        return self._full(now_ms - self.begun_ms)
+        return self._is_full(now_ms - self.started_ms)
 
-    def _full(self, age_ms: float) -> bool:
+    def _is_full(self, age_ms: float) -> bool:
         if self.samples < WINDOW_SAMPLES:
-            enough = self.samples >= WINDOW_FEWEST_SAMPLES
-            return enough and age_ms >= self.patience_ms
-        return age_ms >= WINDOW_MINIMUM_MS
+            enough = self.samples >= MIN_WINDOW_SAMPLES
+            return enough and age_ms >= self.max_age_ms
+        return age_ms >= MIN_WINDOW_MS
 
-    def overloaded(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Return whether the window shows that the server has too much to do."""
-        return self.refused() or self._slow()
+        return self.has_many_refusals() or self._is_slow()
 
-    def refused(self) -> bool:
+    def has_many_refusals(self) -> bool:
         """Return whether refusals and timeouts alone show an overload."""
         signs = self.refusals + self.timeouts
-        return signs >= max(OVERLOAD_SIGNS, OVERLOAD_RATIO * self.samples)
+        return signs >= max(MIN_OVERLOAD_SIGNS, OVERLOAD_RATIO * self.samples)
 
     def mean_ms(self) -> float:
         """Return the mean latency; 0 when every sample was a refusal."""
         answered = self.samples - self.refusals
         return self.total_ms / answered if answered else 0.0
 
-    def decrease(self, weakest: float) -> float:
+    def decrease_factor(self, max_factor: float) -> float:
         """Return the factor that an overload calls for, by its extent."""
         mean_ms = max(self.mean_ms(), 0.001)
         ratio = self.tolerance * self.baseline_ms / mean_ms
-        return max(STRONGEST_DECREASE, min(weakest, ratio))
+        return max(MIN_DECREASE_FACTOR, min(max_factor, ratio))
 
-    def _slow(self) -> bool:
+    def _is_slow(self) -> bool:
         answered = self.samples - self.refusals
-        if answered == 0 or self.learnt < LEARNING_SAMPLES:
+        if answered == 0 or self.baseline_samples < MIN_BASELINE_SAMPLES:
             return False
         error_ms = self.deviation_ms / math.sqrt(answered)
-        slow_ms = self.tolerance * self.baseline_ms + SIGNIFICANT_ERRORS * error_ms
+        slow_ms = self.tolerance * self.baseline_ms + SLOW_STANDARD_ERRORS * error_ms
         return self.mean_ms() > slow_ms
 
     def restart(self, now_ms: float) -> None:
         """Move the baseline and begin the next window."""
         answered = self.samples - self.refusals
-        if answered and self.learnt < LEARNING_SAMPLES:
-            self._learn(answered)
+        if answered and self.baseline_samples < MIN_BASELINE_SAMPLES:
+            self._initialise_baseline(answered)
         elif answered:
-            self._move_baseline(answered)
-        self.begun_ms = now_ms
+            self._update_baseline(answered)
+        self.started_ms = now_ms
         self.total_ms = 0.0
         self.total_deviation_ms = 0.0
         self.samples = 0
@@ -164,25 +164,25 @@
         self.timeouts = 0
         self.peak_in_flight = 0
 
-    def _learn(self, answered: int) -> None:
-        self.learnt += answered
-        weight = answered / self.learnt
+    def _initialise_baseline(self, answered: int) -> None:
+        self.baseline_samples += answered
+        weight = answered / self.baseline_samples
         self.baseline_ms += weight * (self.mean_ms() - self.baseline_ms)
         spread_ms = self.total_deviation_ms / answered
         self.deviation_ms += weight * (spread_ms - self.deviation_ms)
 
-    def _move_baseline(self, answered: int) -> None:
+    def _update_baseline(self, answered: int) -> None:
         mean_ms = self.mean_ms()
-        self.slow_windows = self.slow_windows + 1 if self._slow() else 0
+        self.slow_windows = self.slow_windows + 1 if self._is_slow() else 0
         if self.slow_windows > 1:
             self.baseline_ms = min(mean_ms, self.baseline_ms * BASELINE_DRIFT)
             return
-        trust = min(1.0, answered / WINDOW_SAMPLES)
+        weight = min(1.0, answered / WINDOW_SAMPLES)
         spread_ms = self.total_deviation_ms / answered - self.deviation_ms
-        self.deviation_ms += BASELINE_FALL * trust * spread_ms
+        self.deviation_ms += BASELINE_FALL_GAIN * weight * spread_ms
         change_ms = mean_ms - self.baseline_ms
-        pace = BASELINE_RISE if change_ms > 0 else BASELINE_FALL
-        self.baseline_ms += pace * trust * change_ms
+        gain = BASELINE_RISE_GAIN if change_ms > 0 else BASELINE_FALL_GAIN
+        self.baseline_ms += gain * weight * change_ms
 
 
 @attrs.define
@@ -190,18 +190,18 @@
     """Additive increase while the window is quick, multiplicative decrease else."""
 
     limit: float
-    maximum: float
+    max_limit: float
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
-    def sample(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
         """Take one finished attempt into account."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
             return
-        if window.overloaded():
-            self.limit = max(1.0, self.limit * window.decrease(DECREASE))
+        if window.is_overloaded():
+            self.limit = max(1.0, self.limit * window.decrease_factor(DECREASE_FACTOR))
         elif window.peak_in_flight >= BUSY_RATIO * self.limit:
-            self.limit = min(self.maximum, self.limit + 1.0)
+            self.limit = min(self.max_limit, self.limit + 1.0)
         window.restart(now_ms)
 
 
@@ -210,28 +210,28 @@
     """The limit follows the ratio of the baseline to the present latency."""
 
     limit: float
-    maximum: float
+    max_limit: float
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
-    def sample(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
         """Take one finished attempt into account."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
             return
         idle = window.peak_in_flight < BUSY_RATIO * self.limit
-        if not idle or window.overloaded():
+        if not idle or window.is_overloaded():
             self.limit = self._next_limit()
         window.restart(now_ms)
 
     def _next_limit(self) -> float:
         window = self.window
-        if window.refused():
-            return max(1.0, self.limit * DECREASE)
+        if window.has_many_refusals():
+            return max(1.0, self.limit * DECREASE_FACTOR)
         ratio = LATENCY_TOLERANCE * window.baseline_ms / max(window.mean_ms(), 0.001)
-        gradient = max(GRADIENT_MINIMUM, min(1.0, ratio))
+        gradient = max(MIN_GRADIENT, min(1.0, ratio))
         target = self.limit * gradient + math.sqrt(self.limit)
         limit = self.limit + GRADIENT_SMOOTHING * (target - self.limit)
-        return max(1.0, min(self.maximum, limit))
+        return max(1.0, min(self.max_limit, limit))
 
 
 def make_limiter(kind: LimiterKind, slots: int) -> Limiter:
--- a/azurestep/balancing/queueing.py
+++ b/azurestep/balancing/queueing.py
@@ -10,13 +10,13 @@
 from ..config.model import ClassShares, Priority
 from .messages import Ticket, TicketState
 
-STANDING_MS = 100.0
+STANDING_AFTER_MS = 100.0
 STANDING_WAIT_RATIO = 0.2
-MEMORY_MS = 1000.0
+PACE_WINDOW_MS = 1000.0
 
 
 class Discipline(StrEnum):
-    """How a queue behaves once it hasn't been empty for ``STANDING_MS``.
+    """How a queue behaves once it hasn't been empty for ``STANDING_AFTER_MS``.
 
     ``FIFO`` goes on as before. ``ADAPTIVE_LIFO`` serves the newest first.
     ``CONTROLLED_DELAY`` allows ``STANDING_WAIT_RATIO`` of the usual wait.
@@ -42,9 +42,9 @@
         Requests of the class that run now.
     standing_since_ms : float
         Start of the period in which the queue was never emptied by service.
-    measured_from_ms, served : float
+    measured_from_ms, grant_count : float
         Decayed period and number of grants that the pace is measured by.
-    starved : bool
+    emptied_by_drops : bool
         Whether the queue last became empty by drops.
     """
 
@@ -55,45 +55,45 @@
     in_flight: int = 0
     standing_since_ms: float = 0.0
     measured_from_ms: float = 0.0
-    served: float = 0.0
-    starved: bool = False
+    grant_count: float = 0.0
+    emptied_by_drops: bool = False
 
     def push(self, ticket: Ticket, now_ms: float) -> None:
         """Add a request."""
         if self.length == 0:
             self.tickets.clear()
-            self._begin(now_ms)
+            self._start_period(now_ms)
         self.tickets.append(ticket)
         self.length += 1
 
-    def _begin(self, now_ms: float) -> None:
-        if self.starved:
+    def _start_period(self, now_ms: float) -> None:
+        if self.emptied_by_drops:
             return
         self.standing_since_ms = now_ms
         self.measured_from_ms = now_ms
-        self.served = 0.0
+        self.grant_count = 0.0
 
-    def stands(self, now_ms: float) -> bool:
+    def is_standing(self, now_ms: float) -> bool:
         """Return whether the queue is more than a short burst."""
-        waits = self.length > 0 or self.starved
-        return waits and now_ms - self.standing_since_ms >= STANDING_MS
+        has_backlog = self.length > 0 or self.emptied_by_drops
+        return has_backlog and now_ms - self.standing_since_ms >= STANDING_AFTER_MS
 
     def _newest_first(self, now_ms: float) -> bool:
-        return self.discipline is Discipline.ADAPTIVE_LIFO and self.stands(now_ms)
+        return self.discipline is Discipline.ADAPTIVE_LIFO and self.is_standing(now_ms)
 
-    def allowed_wait_ms(self, timeout_ms: float, now_ms: float) -> float:
+    def max_wait_ms(self, timeout_ms: float, now_ms: float) -> float:
         """Return the longest wait that a newcomer is let in for."""
         controlled = self.discipline is Discipline.CONTROLLED_DELAY
-        if controlled and self.stands(now_ms):
+        if controlled and self.is_standing(now_ms):
             return STANDING_WAIT_RATIO * timeout_ms
         return timeout_ms
 
-    def expected_wait_ms(self, usual_interval_ms: float, now_ms: float) -> float:
+    def expected_wait_ms(self, mean_interval_ms: float, now_ms: float) -> float:
         """Return how long a newcomer most likely waits.
 
         Parameters
         ----------
-        usual_interval_ms : float
+        mean_interval_ms : float
             Time between two grants while nothing is measured yet.
         now_ms : float
             Present time.
@@ -101,9 +101,9 @@
         if self.length == 0 or self._newest_first(now_ms):
             return 0.0
         age_ms = now_ms - self.measured_from_ms
-        return self.length * (age_ms + usual_interval_ms) / (self.served + 1.0)
+        return self.length * (age_ms + mean_interval_ms) / (self.grant_count + 1.0)
 
-    def next_ticket(self, now_ms: float) -> Ticket | None:
+    def peek(self, now_ms: float) -> Ticket | None:
         """Return the next request to serve without taking it out, or None."""
         newest_first = self._newest_first(now_ms)
         while self.tickets:
@@ -113,15 +113,15 @@
             self._remove_end(newest_first)
         return None
 
-    def take(self, now_ms: float) -> None:
-        """Take out what ``next_ticket`` returned: it is served."""
+    def pop(self, now_ms: float) -> None:
+        """Take out what ``peek`` returned: it is served."""
         self._remove_end(self._newest_first(now_ms))
         self.length -= 1
-        self.starved = False
-        self.served += 1.0
-        if now_ms - self.measured_from_ms > MEMORY_MS:
+        self.emptied_by_drops = False
+        self.grant_count += 1.0
+        if now_ms - self.measured_from_ms > PACE_WINDOW_MS:
             self.measured_from_ms = (self.measured_from_ms + now_ms) / 2
-            self.served /= 2
+            self.grant_count /= 2
 
     def _remove_end(self, newest: bool) -> None:
         if newest:
@@ -129,14 +129,14 @@
         else:
             self.tickets.popleft()
 
-    def forget(self, ticket: Ticket, dropped: bool) -> None:
+    def remove(self, ticket: Ticket, dropped: bool) -> None:
         """Take a request out that no longer waits."""
         ticket.state = TicketState.DONE
         self.length -= 1
-        self.starved = dropped or self.starved
+        self.emptied_by_drops = dropped or self.emptied_by_drops
 
 
-class WaitingRoom:
+class ClassQueues:
     """Queues of all classes of one service.
 
     Payment and interactive requests are served before bulk ones; of these two
@@ -146,7 +146,7 @@
     def __init__(self, discipline: Discipline) -> None:
         self._queues = {p: ClassQueue(p, discipline) for p in Priority}
         self._expiries: list[tuple[float, int, Ticket]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
     def queue(self, priority: Priority) -> ClassQueue:
         """Return the queue of a class."""
@@ -159,7 +159,7 @@
     def push(self, ticket: Ticket, now_ms: float, expiry_ms: float) -> None:
         """Let a request wait until ``expiry_ms`` at most."""
         self._queues[ticket.request.priority].push(ticket, now_ms)
-        heapq.heappush(self._expiries, (expiry_ms, next(self._numbers), ticket))
+        heapq.heappush(self._expiries, (expiry_ms, next(self._sequence), ticket))
 
     def next_expiry_ms(self) -> float | None:
         """Return when the next waiting request is to be dropped."""
@@ -173,11 +173,11 @@
         tickets = []
         while (expiry_ms := self.next_expiry_ms()) is not None and expiry_ms <= now_ms:
             ticket = heapq.heappop(self._expiries)[2]
-            self._queues[ticket.request.priority].forget(ticket, dropped=True)
+            self._queues[ticket.request.priority].remove(ticket, dropped=True)
             tickets.append(ticket)
         return tickets
 
-    def order(self, shares: ClassShares) -> list[ClassQueue]:
+    def in_serving_order(self, shares: ClassShares) -> list[ClassQueue]:
         """Return the non-empty queues, the next one to serve first."""
         queues = [queue for queue in self._queues.values() if queue.length]
         queues.sort(key=lambda queue: _rank(queue, shares))
@@ -186,8 +186,8 @@
 
 def _rank(queue: ClassQueue, shares: ClassShares) -> tuple[bool, float]:
     share = share_of(shares, queue.priority)
-    holding = queue.in_flight / share if share > 0 else float("inf")
-    return queue.priority is Priority.BULK, holding
+    load = queue.in_flight / share if share > 0 else float("inf")
+    return queue.priority is Priority.BULK, load
 
 
 def share_of(shares: ClassShares, priority: Priority) -> float:
--- a/azurestep/balancing/rates.py
+++ b/azurestep/balancing/rates.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-RATE_CONSTANT_MS = 1000.0
-MEAN_SMOOTHING = 0.05
+RATE_TIME_CONSTANT_MS = 1000.0
+MEAN_GAIN = 0.05
 
 
 @attrs.define
@@ -26,13 +26,17 @@
     def add(self, now_ms: float) -> None:
         """Count one event."""
         age_ms = now_ms - self.updated_ms
-        self.count = self.count * math.exp(-age_ms / RATE_CONSTANT_MS) + 1.0
+        self.count = self.count * math.exp(-age_ms / RATE_TIME_CONSTANT_MS) + 1.0
         self.updated_ms = now_ms
 
     def per_ms(self, now_ms: float) -> float:
         """Return the present rate in events per millisecond."""
         age_ms = now_ms - self.updated_ms
-        return self.count * math.exp(-age_ms / RATE_CONSTANT_MS) / RATE_CONSTANT_MS
+        return (
+            self.count
+            * math.exp(-age_ms / RATE_TIME_CONSTANT_MS)
+            / RATE_TIME_CONSTANT_MS
+        )
 
 
 @attrs.define
@@ -49,14 +53,14 @@
 
     value: float = 0.0
     deviation: float = 0.0
-    empty: bool = True
+    is_empty: bool = True
 
     def add(self, value: float) -> None:
         """Take one value into account."""
-        if self.empty:
+        if self.is_empty:
             self.value = value
-            self.empty = False
+            self.is_empty = False
             return
         error = value - self.value
-        self.value += MEAN_SMOOTHING * error
-        self.deviation += MEAN_SMOOTHING * (abs(error) - self.deviation)
+        self.value += MEAN_GAIN * error
+        self.deviation += MEAN_GAIN * (abs(error) - self.deviation)
--- a/azurestep/balancing/retries.py
+++ b/azurestep/balancing/retries.py
@@ -7,8 +7,8 @@
 from ..config.model import RetryRule
 from .messages import OutcomeKind
 
-BUDGET_MAXIMUM = 10.0
-BUDGET_FLOOR_PER_MS = 0.001
+MAX_TOKENS = 10.0
+MIN_TOKENS_PER_MS = 0.001
 NOT_RUN_KINDS = frozenset({OutcomeKind.CONNECT_FAILED, OutcomeKind.SHED})
 
 
@@ -26,23 +26,23 @@
     tokens : float
         Retries allowed now.
     updated_ms : float
-        Time of the last trickle; a small constant rate lets a service with
+        Time of the last refill; a small constant rate lets a service with
         hardly any traffic retry at all.
     """
 
     ratio: float
-    tokens: float = BUDGET_MAXIMUM
+    tokens: float = MAX_TOKENS
     updated_ms: float = 0.0
 
     def earn(self) -> None:
         """Add a first request's share."""
-        self.tokens = min(BUDGET_MAXIMUM, self.tokens + self.ratio)
+        self.tokens = min(MAX_TOKENS, self.tokens + self.ratio)
 
     def spend(self, now_ms: float) -> bool:
         """Take one retry out of the bucket; return whether there was one."""
-        trickle = max(0.0, now_ms - self.updated_ms) * BUDGET_FLOOR_PER_MS
+        refill = max(0.0, now_ms - self.updated_ms) * MIN_TOKENS_PER_MS
         if self.ratio > 0:
-            self.tokens = min(BUDGET_MAXIMUM, self.tokens + trickle)
+            self.tokens = min(MAX_TOKENS, self.tokens + refill)
         self.updated_ms = max(now_ms, self.updated_ms)
         if self.tokens < 1.0:
             return False
@@ -144,7 +144,7 @@
     The budget is asked last, so that only real retries take from it.
     """
     not_run = attempt.kind in NOT_RUN_KINDS
-    reason = _obstacle(attempt, rule, not_run)
+    reason = _find_give_up_reason(attempt, rule, not_run)
     if reason is not None:
         return GiveUp(reason, not_run)
     if attempt.kind is OutcomeKind.RESET and attempt.server_died is None:
@@ -154,10 +154,10 @@
     return Retry()
 
 
-def _obstacle(
+def _find_give_up_reason(
     attempt: FailedAttempt, rule: RetryRule, not_run: bool
 ) -> GiveUpReason | None:
-    unsafe = _why_unsafe(attempt, not_run)
+    unsafe = _find_unsafe_reason(attempt, not_run)
     if unsafe is not None:
         return unsafe
     if attempt.marked_final:
@@ -169,7 +169,7 @@
     return None
 
 
-def _why_unsafe(attempt: FailedAttempt, not_run: bool) -> GiveUpReason | None:
+def _find_unsafe_reason(attempt: FailedAttempt, not_run: bool) -> GiveUpReason | None:
     if attempt.kind is OutcomeKind.CANCELLED:
         return GiveUpReason.CANCELLED
     if attempt.bytes_delivered > 0:
--- a/azurestep/balancing/throttle.py
+++ b/azurestep/balancing/throttle.py
@@ -10,17 +10,17 @@
 import attrs
 
 from ..config.model import Priority
-from .limiter import STRONGEST_DECREASE, LatencyWindow
+from .limiter import MIN_DECREASE_FACTOR, LatencyWindow
 from .messages import Outcome
 
-MINIMUM_SHARE = 0.05
+MIN_RATIO = 0.05
 TOLERANCE = 3.0
-PATIENCE_MS = 1000.0
-RECOVERY_MS = 3000.0
-LARGEST_INCREASE = 2.0
-WINDOWS_TO_DECREASE = 2
-WEAKEST_DECREASE = 0.9
-MIX_CONSTANT_MS = 5000.0
+MAX_WINDOW_AGE_MS = 1000.0
+INCREASE_TIME_CONSTANT_MS = 3000.0
+MAX_INCREASE_FACTOR = 2.0
+MIN_OVERLOADED_WINDOWS = 2
+MAX_DECREASE_FACTOR = 0.9
+MIX_TIME_CONSTANT_MS = 5000.0
 
 
 @attrs.define
@@ -34,7 +34,7 @@
 
     def add(self, priority: Priority, now_ms: float) -> None:
         """Count one arrival."""
-        decay = math.exp((self.updated_ms - now_ms) / MIX_CONSTANT_MS)
+        decay = math.exp((self.updated_ms - now_ms) / MIX_TIME_CONSTANT_MS)
         self.interactive *= decay
         self.payment *= decay
         self.bulk *= decay
@@ -57,20 +57,20 @@
 
     Attributes
     ----------
-    share : float
+    admitted_ratio : float
         Share of all arrivals let through, 0 to 1.
-    overloads : int
+    overloaded_windows : int
         Overloaded windows in a row.
     """
 
-    share: float = 1.0
-    overloads: int = 0
+    admitted_ratio: float = 1.0
+    overloaded_windows: int = 0
     window: LatencyWindow = attrs.field(
-        factory=lambda: LatencyWindow(TOLERANCE, PATIENCE_MS)
+        factory=lambda: LatencyWindow(TOLERANCE, MAX_WINDOW_AGE_MS)
     )
     mix: ArrivalMix = attrs.field(factory=ArrivalMix)
 
-    def passes(self, priority: Priority, now_ms: float, drawn: float) -> bool:
+    def admits(self, priority: Priority, now_ms: float, random_value: float) -> bool:
         """Return whether an arrival is let through.
 
         Parameters
@@ -79,26 +79,26 @@
             Its class.
         now_ms : float
             Present time.
-        drawn : float
+        random_value : float
             Random number from 0 to 1.
         """
         self.mix.add(priority, now_ms)
-        return self.share >= 1.0 or drawn < self.share_of(priority)
+        return self.admitted_ratio >= 1.0 or random_value < self.class_ratio(priority)
 
-    def share_of(self, priority: Priority) -> float:
+    def class_ratio(self, priority: Priority) -> float:
         """Return the share of a class that is let through."""
         mix = self.mix
-        left = self.share * (mix.interactive + mix.payment + mix.bulk)
+        remaining = self.admitted_ratio * (mix.interactive + mix.payment + mix.bulk)
         if priority is Priority.PAYMENT:
-            return max(MINIMUM_SHARE, left / max(mix.payment, 1.0))
-        left -= mix.payment
+            return max(MIN_RATIO, remaining / max(mix.payment, 1.0))
+        remaining -= mix.payment
         if priority is Priority.INTERACTIVE:
-            return max(MINIMUM_SHARE, left / max(mix.interactive, 1.0))
-        left -= mix.interactive
-        return max(MINIMUM_SHARE, left / max(mix.bulk, 1.0))
+            return max(MIN_RATIO, remaining / max(mix.interactive, 1.0))
+        remaining -= mix.interactive
+        return max(MIN_RATIO, remaining / max(mix.bulk, 1.0))
 
-    def collect(self, outcome: Outcome, now_ms: float) -> bool:
-        """Take a finished attempt into account; return whether to ``judge``.
+    def record(self, outcome: Outcome, now_ms: float) -> bool:
+        """Take a finished attempt into account; return whether to ``update_ratio``.
 
         Parameters
         ----------
@@ -109,34 +109,38 @@
         """
         return self.window.add(outcome, 0, now_ms)
 
-    def judge(self, limited: bool, now_ms: float) -> None:
+    def update_ratio(self, limits_binding: bool, now_ms: float) -> None:
         """Move the share by the full window and begin the next.
 
         Parameters
         ----------
-        limited : bool
+        limits_binding : bool
             Whether the node's concurrency limits hold the overload back.
         now_ms : float
             Present time.
         """
-        if limited or not self.window.overloaded():
-            self.overloads = 0
-            self.share = min(1.0, self.share * self._increase(now_ms))
+        if limits_binding or not self.window.is_overloaded():
+            self.overloaded_windows = 0
+            self.admitted_ratio = min(
+                1.0, self.admitted_ratio * self._increase_factor(now_ms)
+            )
         else:
-            self._count_overload()
+            self._record_overload()
         self.window.restart(now_ms)
 
-    def _count_overload(self) -> None:
-        self.overloads += 1
-        if self.overloads >= WINDOWS_TO_DECREASE:
-            self.share = max(MINIMUM_SHARE, self.share * self._decrease())
+    def _record_overload(self) -> None:
+        self.overloaded_windows += 1
+        if self.overloaded_windows >= MIN_OVERLOADED_WINDOWS:
+            self.admitted_ratio = max(
+                MIN_RATIO, self.admitted_ratio * self._decrease_factor()
+            )
 
-    def _increase(self, now_ms: float) -> float:
-        age_ms = min(RECOVERY_MS, now_ms - self.window.begun_ms)
-        return min(LARGEST_INCREASE, math.exp(age_ms / RECOVERY_MS))
+    def _increase_factor(self, now_ms: float) -> float:
+        age_ms = min(INCREASE_TIME_CONSTANT_MS, now_ms - self.window.started_ms)
+        return min(MAX_INCREASE_FACTOR, math.exp(age_ms / INCREASE_TIME_CONSTANT_MS))
 
-    def _decrease(self) -> float:
+    def _decrease_factor(self) -> float:
         window = self.window
         if 2 * (window.refusals + window.timeouts) >= window.samples:
-            return STRONGEST_DECREASE
-        return window.decrease(WEAKEST_DECREASE)
+            return MIN_DECREASE_FACTOR
+        return window.decrease_factor(MAX_DECREASE_FACTOR)
--- a/azurestep/balancing/whole_answers.py
+++ b/azurestep/balancing/whole_answers.py
@@ -2,13 +2,13 @@
 
 import attrs
 
-MAXIMUM_RESUMPTIONS = 3
+MAX_RESUMPTIONS = 3
 WEAK_PREFIX = "W/"
 HTTP_PARTIAL_CONTENT = 206
 
 
 @attrs.frozen
-class CutAnswer:
+class TruncatedAnswer:
     """An answer whose connection ended too soon.
 
     Attributes
@@ -111,7 +111,7 @@
     return received_bytes == declared_bytes
 
 
-def decide_cut(answer: CutAnswer) -> Resume | RetryElsewhere | Abort:
+def decide_resumption(answer: TruncatedAnswer) -> Resume | RetryElsewhere | Abort:
     """Decide what follows an answer that was cut short."""
     if not answer.safe_get or answer.remaining_ms <= 0:
         return Abort()
@@ -124,34 +124,34 @@
     return Resume(start, end, answer.entity_tag)
 
 
-def _resumable(answer: CutAnswer) -> bool:
+def _resumable(answer: TruncatedAnswer) -> bool:
     declared = answer.declared_bytes
     if declared is None or answer.delivered_bytes >= declared:
         return False
-    if answer.resumptions >= MAXIMUM_RESUMPTIONS:
+    if answer.resumptions >= MAX_RESUMPTIONS:
         return False
-    return answer.accepts_ranges and is_strong(answer.entity_tag)
+    return answer.accepts_ranges and is_strong_tag(answer.entity_tag)
 
 
-def is_strong(entity_tag: str) -> bool:
+def is_strong_tag(entity_tag: str) -> bool:
     """Return whether equal tags mean equal bytes (RFC 9110, section 8.8.1).
 
     Examples
     --------
-    >>> is_strong('"v1"'), is_strong('W/"v1"'), is_strong("")
+    >>> is_strong_tag('"v1"'), is_strong_tag('W/"v1"'), is_strong_tag("")
     (True, False, False)
     """
     quoted = len(entity_tag) >= 2 and entity_tag[0] == entity_tag[-1] == '"'
     return quoted and not entity_tag.startswith(WEAK_PREFIX)
 
 
-def continues(wanted: Resume, answer: ResumedAnswer) -> bool:
+def is_continuation(requested: Resume, answer: ResumedAnswer) -> bool:
     """Return whether a resumed answer may be appended to what was delivered."""
     if answer.status != HTTP_PARTIAL_CONTENT:
         return False
-    if answer.entity_tag != wanted.if_range:
+    if answer.entity_tag != requested.if_range:
         return False
     return (answer.range_start, answer.range_end) == (
-        wanted.range_start,
-        wanted.range_end,
+        requested.range_start,
+        requested.range_end,
     )
--- a/azurestep/traffic/attempt.py
+++ b/azurestep/traffic/attempt.py
@@ -8,7 +8,7 @@
 from aiohttp.http_exceptions import HttpProcessingError
 
 from .. import events
-from ..balancing import Endpoint, OutcomeKind, next_budget
+from ..balancing import Endpoint, OutcomeKind, reduce_budget
 from ..environment import Clock
 from ..settings import Address
 from . import headers
@@ -132,7 +132,7 @@
         extra: Mapping[str, str] | None,
     ) -> Exchanged:
         sent_ms = self._clock.monotonic_ms()
-        budget = next_budget(call.budget, sent_ms - call.arrived_ms)
+        budget = reduce_budget(call.budget, sent_ms - call.arrived_ms)
         body = call.body if call.stream is None else call.stream
         try:
             head = await connection.send(
--- a/azurestep/traffic/call.py
+++ b/azurestep/traffic/call.py
@@ -8,7 +8,7 @@
 
 from ..balancing import (
     BODY_PREFIX_BYTES,
-    Budget,
+    DeadlineBudget,
     EndpointKey,
     fingerprint,
     limit_budget,
@@ -34,7 +34,7 @@
         Table that the request began with.
     match : Match
         Route and service.
-    budget : Budget
+    budget : DeadlineBudget
         Time and depth at arrival.
     arrived_ms : float
         Monotonic time of arrival.
@@ -61,7 +61,7 @@
     fields: "CIMultiDictProxy[str] | CIMultiDict[str]"
     table: RoutingTable
     match: Match
-    budget: Budget
+    budget: DeadlineBudget
     arrived_ms: float
     body: bytes = b""
     tried: list[EndpointKey] = attrs.field(factory=list)
@@ -97,7 +97,7 @@
     return (request.host or "").partition(DEFAULT_PORT_SEPARATOR)[0]
 
 
-def budget_of(request: web.BaseRequest, match: Match) -> Budget:
+def budget_of(request: web.BaseRequest, match: Match) -> DeadlineBudget:
     """Return the time and depth of a request at its arrival."""
     remaining_ms = _number(request.headers.get(headers.DEADLINE_MS))
     depth = _number(request.headers.get(headers.DEPTH))
--- a/azurestep/traffic/packed_call.py
+++ b/azurestep/traffic/packed_call.py
@@ -4,7 +4,7 @@
 
 from multidict import CIMultiDict
 
-from ..balancing import Budget
+from ..balancing import DeadlineBudget
 from ..control.messages import PackedCall
 from ..once.messages import Header
 from . import headers
@@ -60,7 +60,7 @@
         fields,
         table,
         match,
-        Budget(remaining_ms, int(depth) if depth.isdigit() else 0),
+        DeadlineBudget(remaining_ms, int(depth) if depth.isdigit() else 0),
         now_ms,
         packed.body,
     )
--- a/azurestep/traffic/relay.py
+++ b/azurestep/traffic/relay.py
@@ -8,11 +8,11 @@
 from aiohttp import web
 
 from ..balancing import (
-    CutAnswer,
     Resume,
     ResumedAnswer,
-    continues,
-    decide_cut,
+    TruncatedAnswer,
+    decide_resumption,
+    is_continuation,
     is_whole,
 )
 from .backend_answer import BackendAnswer, BodyCutError
@@ -144,7 +144,7 @@
                     return False
 
     async def _copy(self, response: web.StreamResponse) -> None:
-        is_resumable = isinstance(decide_cut(self._cut()), Resume)
+        is_resumable = isinstance(decide_resumption(self._cut()), Resume)
         stall_s = STALL_RESUMABLE_S if is_resumable else STALL_S
         while True:
             async with asyncio.timeout(stall_s):
@@ -156,13 +156,13 @@
         if not is_whole(self.answer.length, self.delivered_bytes, ended_cleanly=True):
             raise BodyCutError
 
-    def _cut(self) -> CutAnswer:
+    def _cut(self) -> TruncatedAnswer:
         answer = self.answer
         span = answer.content_range()
         is_partial = answer.status == PARTIAL_CONTENT
         # A partial answer in several parts has no one range to go on from.
         tag = "" if is_partial and span is None else answer.headers.get("ETag", "")
-        return CutAnswer(
+        return TruncatedAnswer(
             self.call.method == "GET" and self.call.match.idempotent,
             answer.length,
             self.delivered_bytes,
@@ -175,12 +175,12 @@
 
     async def _continue(self) -> bool:
         """Replace a cut answer by one that continues it; return whether one did."""
-        wanted = decide_cut(self._cut())
+        wanted = decide_resumption(self._cut())
         if not isinstance(wanted, Resume):
             return False
         self.resumptions += 1
         answer = await self.resume(wanted)
-        if answer is None or not continues(wanted, _resumed(answer)):
+        if answer is None or not is_continuation(wanted, _resumed(answer)):
             return False
         self.answer = answer
         self.delivered_bytes = 0
--- a/azurestep/traffic/request_head.py
+++ b/azurestep/traffic/request_head.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from ..balancing import Budget
+from ..balancing import DeadlineBudget
 from . import headers
 from .call import Call
 
@@ -17,7 +17,7 @@
 
 
 def request_head(
-    call: Call, budget: Budget, extra: Mapping[str, str] | None = None
+    call: Call, budget: DeadlineBudget, extra: Mapping[str, str] | None = None
 ) -> bytes:
     """Return the request line and headers, the empty line included.
 
@@ -25,7 +25,7 @@
     ----------
     call : Call
         The request.
-    budget : Budget
+    budget : DeadlineBudget
         Time and depth to tell the backend server.
     extra : mapping of str to str, optional
         Headers that replace those of the caller.
--- a/tests/test_balancing_bench.py
+++ b/tests/test_balancing_bench.py
@@ -40,7 +40,7 @@
     assert run(scenario, DECISIONS) == run(scenario, DECISIONS)
 
 
-def test_retries_multiply_without_both_rules_and_not_with_them():
+def test_retries_multiply_unless_both_rules_are_active():
     neither, _, nearest, both = (
         amplification.measure(policy, 6, 1.0, 200) for policy in amplification.POLICIES
     )
@@ -49,7 +49,7 @@
     assert both.reached < 1.2
 
 
-def test_quarantine_bounds_what_one_request_takes_down():
+def test_quarantine_bounds_the_servers_that_one_request_crashes():
     scenario = QuarantineScenario("poison", poison=True, herd=0)
     free = Trial(scenario, QuarantinePolicy("none", 0), 1).run()
     bound = Trial(scenario, QuarantinePolicy("two", 2), 1).run()
--- a/tests/test_balancing_choice.py
+++ b/tests/test_balancing_choice.py
@@ -44,7 +44,7 @@
     return state.endpoint.key.port - 8000
 
 
-def spread(balancer, outcome_of, count=600, start_ms=0.0):
+def count_calls(balancer, outcome_of, count=600, start_ms=0.0):
     """Return how many of some calls, 10 ms apart, each one got."""
     numbers = range(count)
     return Counter(
@@ -52,20 +52,20 @@
     )
 
 
-def rest(balancer, start_ms, end_ms):
+def run_idle(balancer, start_ms, end_ms):
     """Let time pass without any call, as a node's ticks show it."""
     for now_ms in range(start_ms, end_ms, 250):
         balancer.review(float(now_ms))
 
 
-def test_own_data_centre_is_enough_below_the_spill_over():
+def test_requests_stay_local_below_the_spill_over_ratio():
     balancer = make_balancer([endpoint(0), endpoint(1), endpoint(2, "dc2")])
-    assert spread(balancer, lambda _: GOOD)[2] == 0
+    assert count_calls(balancer, lambda _: GOOD)[2] == 0
 
 
-def test_own_backend_server_comes_first_while_it_is_idle():
+def test_the_local_backend_server_is_preferred_while_idle():
     balancer = make_balancer([endpoint(0), endpoint(1)], instance="i1")
-    assert spread(balancer, lambda _: GOOD) == {1: 600}
+    assert count_calls(balancer, lambda _: GOOD) == {1: 600}
     held = [balancer.choose() for _ in range(3)]
     for _ in held:
         balancer.start(balancer.choose())
@@ -73,7 +73,7 @@
     assert 8000 in others
 
 
-def test_a_busy_data_centre_spills_over_to_the_roomier_one():
+def test_a_busy_data_centre_spills_over_to_the_less_used_ones():
     endpoints = [endpoint(0), endpoint(1, "dc2"), endpoint(2, "dc3")]
     balancer = make_balancer(endpoints, spill_over_ratio=0.5)
     for _ in range(6):
@@ -87,9 +87,9 @@
     assert seen["dc3"] >= 4
 
 
-def test_a_data_centre_without_backend_servers_uses_the_others():
+def test_a_data_centre_without_backend_servers_uses_remote_ones():
     balancer = make_balancer([endpoint(0, "dc2")])
-    assert spread(balancer, lambda _: GOOD) == {0: 600}
+    assert count_calls(balancer, lambda _: GOOD) == {0: 600}
 
 
 def test_a_new_backend_server_starts_with_a_small_share():
@@ -108,30 +108,30 @@
     assert balancer.choose().endpoint.key.port == 8002
 
 
-def test_fast_errors_do_not_draw_the_traffic():
+def test_fast_errors_do_not_attract_traffic():
     balancer = make_balancer([endpoint(number) for number in range(4)])
-    seen = spread(balancer, lambda one: BAD if one.key.port == 8000 else GOOD)
+    seen = count_calls(balancer, lambda one: BAD if one.key.port == 8000 else GOOD)
     assert seen[0] < 30
 
 
 @pytest.mark.parametrize("outcome", [BAD, Outcome(OutcomeKind.SUCCESS, 500.0)])
-def test_one_bad_answer_does_not_bar_a_server_for_good(outcome):
+def test_one_bad_answer_does_not_exclude_a_server_permanently(outcome):
     balancer = make_balancer([endpoint(n) for n in range(3)])
-    spread(balancer, lambda _: GOOD)
-    unlucky = balancer.pools[0].members[0]
-    balancer.start(unlucky)
-    balancer.finish(unlucky.endpoint, outcome, 6000.0)
-    rest(balancer, 6000, 20_000)
-    assert spread(balancer, lambda _: GOOD, start_ms=20_000.0)[0] > 100
+    count_calls(balancer, lambda _: GOOD)
+    state = balancer.pools[0].members[0]
+    balancer.start(state)
+    balancer.finish(state.endpoint, outcome, 6000.0)
+    run_idle(balancer, 6000, 20_000)
+    assert count_calls(balancer, lambda _: GOOD, start_ms=20_000.0)[0] > 100
 
 
-def test_a_latency_outlier_gets_little_and_comes_back():
+def test_a_latency_outlier_is_ejected_and_restored():
     balancer = make_balancer([endpoint(n) for n in range(4)], ejection_ms=2000)
     slow = Outcome(OutcomeKind.SUCCESS, 200.0)
-    seen = spread(balancer, lambda one: slow if one.key.port == 8000 else GOOD)
+    seen = count_calls(balancer, lambda one: slow if one.key.port == 8000 else GOOD)
     assert seen[0] < 60
-    rest(balancer, 6000, 30_000)
-    later = spread(balancer, lambda _: GOOD, start_ms=30_000.0)
+    run_idle(balancer, 6000, 30_000)
+    later = count_calls(balancer, lambda _: GOOD, start_ms=30_000.0)
     assert later[0] > 60
 
 
@@ -149,15 +149,15 @@
     assert len(ends) >= 3
 
 
-def test_when_all_fail_nobody_more_is_ejected_than_the_cap_allows():
+def test_ejections_stay_within_the_maximum_when_all_fail():
     balancer = make_balancer([endpoint(n) for n in range(6)], ejection_ratio=0.34)
-    spread(balancer, lambda _: BAD)
+    count_calls(balancer, lambda _: BAD)
     members = balancer.pools[0].members
     assert sum(state.ejected for state in members) <= 2
     assert balancer.choose() is not None
 
 
-def test_the_ejected_return_when_the_others_leave():
+def test_ejected_servers_are_restored_when_the_others_leave():
     endpoints = [endpoint(n) for n in range(6)]
     balancer = make_balancer(endpoints)
     for state in balancer.pools[0].members[:2]:
@@ -170,25 +170,25 @@
     assert balancer.choose().endpoint.key.port <= 8001
 
 
-def test_reports_alone_never_empty_a_service():
+def test_load_reports_alone_never_exclude_every_server():
     endpoints = [endpoint(n) for n in range(4)]
     balancer = make_balancer(endpoints)
     for one in endpoints:
         balancer.report(LoadReport(one.key, load=1.0, healthy=False))
-    assert sum(spread(balancer, lambda _: GOOD).values()) == 600
+    assert sum(count_calls(balancer, lambda _: GOOD).values()) == 600
 
 
-def test_a_false_report_of_no_load_shifts_little():
+def test_a_false_load_report_shifts_little_load():
     endpoints = [endpoint(n) for n in range(4)]
     balancer = make_balancer(endpoints)
     for one in endpoints[1:]:
         balancer.report(LoadReport(one.key, load=1.0))
     for _ in range(24):
         balancer.start(balancer.choose())
-    assert balancer.pools[0].members[0].outstanding <= 9
+    assert balancer.pools[0].members[0].in_flight <= 9
 
 
-def test_a_retry_goes_elsewhere_unless_there_is_nowhere_else():
+def test_a_retry_avoids_tried_servers_unless_there_is_no_other():
     balancer = make_balancer([endpoint(0), endpoint(1)])
     tried = (endpoint(0).key,)
     for _ in range(12):
@@ -200,15 +200,15 @@
     assert alone.choose(tried) is not None
 
 
-def test_a_new_incarnation_starts_with_a_clean_record():
+def test_a_new_incarnation_starts_with_cleared_statistics():
     balancer = make_balancer([endpoint(0), endpoint(1), endpoint(2)])
     failing = balancer.pools[0].members[0]
     for _ in range(5):
         balancer.start(failing)
         balancer.finish(failing.endpoint, BAD, 100.0)
     assert failing.ejected
-    anew = endpoint(0, key=EndpointKey("127.0.0.1", 8000, 2))
-    balancer.replace([anew, endpoint(1), endpoint(2)], 6000.0)
+    restarted = endpoint(0, key=EndpointKey("127.0.0.1", 8000, 2))
+    balancer.replace([restarted, endpoint(1), endpoint(2)], 6000.0)
     assert not balancer.pools[0].members[0].ejected
 
 
@@ -225,7 +225,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(steps=STEPS, ratio=st.floats(0.0, 1.0))
-def test_some_backend_server_always_stays_in_use(steps, ratio):
+def test_some_backend_server_always_stays_eligible(steps, ratio):
     known = {n: endpoint(n, f"dc{n % 2 + 1}") for n in range(6)}
     balancer = make_balancer(known.values(), ejection_ratio=ratio)
     now_ms, held = 0.0, []
@@ -259,12 +259,12 @@
 def _check(balancer, held, known):
     states = [state for pool in balancer.pools for state in pool.members]
     staying = [state for state in states if not state.endpoint.leaving]
-    assert sum(state.outstanding for state in states) == len(held)
-    assert all(state.outstanding <= 12 for state in states)
+    assert sum(state.in_flight for state in states) == len(held)
+    assert all(state.in_flight <= 12 for state in states)
     if staying:
-        assert any(state.fit for state in staying)
+        assert any(state.eligible for state in staying)
     for pool in balancer.pools:
-        fit = [state for state in pool.members if state.fit]
-        assert pool.in_flight == sum(state.outstanding for state in fit)
-        free = {id(state) for state in fit if state.outstanding < 12}
+        eligible = [state for state in pool.members if state.eligible]
+        assert pool.total_in_flight == sum(state.in_flight for state in eligible)
+        free = {id(state) for state in eligible if state.in_flight < 12}
         assert {id(state) for state in pool.available} == free
--- a/tests/test_balancing_core.py
+++ b/tests/test_balancing_core.py
@@ -49,7 +49,7 @@
     assert isinstance(admission.request(request_at(1.0)), Queued)
 
 
-def test_freed_slot_goes_to_the_one_that_waits(admission):
+def test_a_freed_slot_is_granted_to_the_queued_request(admission):
     admitted = fill(admission)
     waiting = admission.request(request_at(2.0))
     released = admission.finish(admitted[0].ticket, SUCCESS, 6.0)
@@ -64,7 +64,7 @@
     assert isinstance(admission.request(request_at(7.0)), Queued)
 
 
-def test_full_queue_refuses_at_once(admission):
+def test_a_full_queue_refuses_immediately(admission):
     fill(admission)
     for _ in range(3):
         admission.request(request_at(2.0))
@@ -74,7 +74,7 @@
     assert refused.retry_after_ms > 0
 
 
-def test_waiting_request_is_dropped_when_it_would_be_late(admission):
+def test_a_queued_request_is_dropped_when_it_would_miss_its_deadline(admission):
     admitted = fill(admission)
     admission.finish(admitted[0].ticket, Outcome(OutcomeKind.SUCCESS, 50.0), 60.0)
     admission.request(request_at(61.0))
@@ -87,14 +87,12 @@
     assert dropped[0].reason is RefusalReason.DEADLINE
 
 
-def test_leaving_endpoint_gets_nothing_new(admission):
+def test_a_leaving_endpoint_gets_no_new_requests(admission):
     endpoints = [
-        pool_member.endpoint
-        for pool in admission.balancer.pools
-        for pool_member in pool.members
+        state.endpoint for pool in admission.balancer.pools for state in pool.members
     ]
-    gone = Endpoint(endpoints[0].key, "songs", "i8000", "dc1", 2, leaving=True)
-    admission.replace_endpoints([gone, endpoints[1]], 1.0)
+    leaving = Endpoint(endpoints[0].key, "songs", "i8000", "dc1", 2, leaving=True)
+    admission.replace_endpoints([leaving, endpoints[1]], 1.0)
     decisions = [admission.request(request_at(2.0)) for _ in range(3)]
     assert [type(decision) for decision in decisions] == [Admitted, Admitted, Queued]
     assert {d.endpoint.key.port for d in decisions[:2]} == {8001}
--- a/tests/test_balancing_limits.py
+++ b/tests/test_balancing_limits.py
@@ -33,9 +33,9 @@
 
 def observe(state, kind, latency_ms, count, start_ms=0.0):
     """Let attempts end every 20 ms and return when the next would."""
-    state.outstanding = 12
+    state.in_flight = 12
     for number in range(count):
-        state.observe(Outcome(kind, latency_ms), start_ms + 20.0 * number)
+        state.record_outcome(Outcome(kind, latency_ms), start_ms + 20.0 * number)
     return start_ms + 20.0 * count
 
 
@@ -45,7 +45,7 @@
     assert state.limiter.limit < 6
 
 
-def test_limit_returns_when_the_latency_does(state):
+def test_limit_recovers_with_the_latency(state):
     now_ms = observe(state, OutcomeKind.SUCCESS, 50.0, 200)
     now_ms = observe(state, OutcomeKind.SUCCESS, 400.0, 600, now_ms)
     observe(state, OutcomeKind.SUCCESS, 50.0, 1000, now_ms)
@@ -59,7 +59,7 @@
         assert 1.0 <= state.limiter.limit <= 12.0
 
 
-def test_fast_refusals_are_not_taken_for_the_normal_latency(state):
+def test_fast_refusals_do_not_lower_the_baseline(state):
     now_ms = observe(state, OutcomeKind.SUCCESS, 50.0, 200)
     now_ms = observe(state, OutcomeKind.SHED, 1.0, 200, now_ms)
     now_ms = observe(state, OutcomeKind.ERROR, 1.0, 200, now_ms)
@@ -67,7 +67,7 @@
     assert state.limiter.limit > 10
 
 
-def test_a_service_that_became_slower_for_good_gets_its_limit_back(state):
+def test_a_permanently_slower_service_gets_its_limit_back(state):
     now_ms = observe(state, OutcomeKind.SUCCESS, 50.0, 200)
     observe(state, OutcomeKind.SUCCESS, 200.0, 16_000, now_ms)
     assert state.limiter.limit > 10
@@ -105,20 +105,20 @@
 
 
 @pytest.mark.parametrize("kind", [OutcomeKind.SUCCESS, OutcomeKind.SHED])
-def test_a_node_with_one_request_at_a_time_still_holds_back(admission, kind):
+def test_a_node_with_one_request_at_a_time_still_sheds_load(admission, kind):
     drive(admission, OutcomeKind.SUCCESS, 20.0, 100, 0.0)
     drive(admission, kind, 400.0, 100, 20_000.0)
     assert drive(admission, kind, 400.0, 200, 40_000.0) < 0.3
 
 
-def test_a_limit_that_is_as_low_as_can_be_leaves_the_work_to_the_throttle():
+def test_the_throttle_sheds_load_at_the_minimum_limit():
     admission = make_admission(1)
     drive(admission, OutcomeKind.SUCCESS, 20.0, 100, 0.0)
     drive(admission, OutcomeKind.SUCCESS, 90.0, 100, 20_000.0)
     assert drive(admission, OutcomeKind.SUCCESS, 90.0, 200, 40_000.0) < 0.3
 
 
-def test_a_rare_long_answer_is_no_overload(admission):
+def test_rare_long_answers_are_not_an_overload(admission):
     source = random.Random(11)
     refused = 0
     for number in range(3000):
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_few_quick_first_answers_do_not_set_the_usual_latency(admission, seed):
+def test_a_few_quick_first_answers_do_not_set_the_baseline(admission, seed):
     source = random.Random(seed)
     refused = 0
     for number in range(2000):
@@ -152,7 +152,7 @@
     assert refused < 20
 
 
-def test_the_throttle_opens_again(admission):
+def test_the_throttle_recovers_after_an_overload(admission):
     drive(admission, OutcomeKind.SUCCESS, 20.0, 100, 0.0)
     drive(admission, OutcomeKind.SHED, 1.0, 300, 20_000.0)
     drive(admission, OutcomeKind.SUCCESS, 20.0, 600, 60_000.0)
@@ -160,22 +160,22 @@
 
 
 @pytest.mark.parametrize("limited", [True, False])
-def test_the_throttle_leaves_the_work_to_limits_that_bite(limited):
+def test_the_throttle_stays_open_while_the_limits_are_binding(limited):
     throttle = Throttle()
     for number in range(1000):
         now_ms = 600.0 + 10.0 * number
         latency_ms = 20.0 if number < 200 else 400.0
         outcome = Outcome(OutcomeKind.SUCCESS, latency_ms)
-        if throttle.collect(outcome, now_ms):
-            throttle.judge(limited, now_ms)
-    assert (throttle.share == 1.0) is limited
+        if throttle.record(outcome, now_ms):
+            throttle.update_ratio(limited, now_ms)
+    assert (throttle.admitted_ratio == 1.0) is limited
 
 
-def test_the_throttle_stays_open_while_the_service_is_well(admission):
+def test_the_throttle_admits_everything_without_overload(admission):
     assert drive(admission, OutcomeKind.SUCCESS, 20.0, 500, 0.0) == 1.0
 
 
-def test_the_throttle_takes_bulk_first_and_payment_last():
+def test_the_throttle_sheds_bulk_first_and_payment_last():
     admission = make_admission(1000, LimiterKind.FIXED)
     kinds = [Priority.BULK, Priority.INTERACTIVE, Priority.INTERACTIVE]
     kinds.append(Priority.PAYMENT)
--- a/tests/test_balancing_quarantine.py
+++ b/tests/test_balancing_quarantine.py
@@ -27,13 +27,13 @@
     return Quarantine()
 
 
-def test_it_costs_nothing_until_something_happens(quarantine):
+def test_an_empty_quarantine_is_inactive(quarantine):
     assert not quarantine.active
     assert quarantine.status_of(POISON, 0.0) is QuarantineStatus.CLEAR
 
 
 @pytest.mark.parametrize(("deaths", "weigh"), [(1, False), (2, True), (3, True)])
-def test_it_refuses_from_the_chosen_number_of_deaths(deaths, weigh):
+def test_a_request_is_refused_from_the_configured_number_of_deaths(deaths, weigh):
     quarantine = Quarantine(deaths_to_refuse=deaths, weigh_chance=weigh)
     for number in range(deaths):
         assert quarantine.status_of(POISON, 20_000.0) is not QuarantineStatus.REFUSED
@@ -42,7 +42,7 @@
     assert quarantine.status_of(POISON, now_ms) is QuarantineStatus.REFUSED
 
 
-def test_first_death_makes_a_suspect(quarantine):
+def test_the_first_death_makes_a_suspect(quarantine):
     crash(quarantine, 0, 0.0)
     assert quarantine.status_of(POISON, 10.0) is QuarantineStatus.SUSPECT
 
@@ -61,13 +61,13 @@
     assert not quarantine.active
 
 
-def test_an_unproven_loss_is_forgotten(quarantine):
+def test_an_unproven_loss_expires(quarantine):
     quarantine.record_loss(INNOCENT, server(0), 0.0)
     assert quarantine.status_of(INNOCENT, 1.0) is QuarantineStatus.SUSPECT
     assert quarantine.status_of(INNOCENT, 11_000.0) is QuarantineStatus.CLEAR
 
 
-def test_a_request_that_runs_elsewhere_is_cleared(quarantine):
+def test_a_request_that_is_answered_elsewhere_is_cleared(quarantine):
     crash(quarantine, 0, 0.0, [POISON, INNOCENT])
     quarantine.record_start(INNOCENT, server(1), 5.0)
     quarantine.record_answer(INNOCENT, server(1), 9.0)
@@ -76,7 +76,7 @@
     assert len(quarantine) == 1
 
 
-def test_a_rack_that_goes_blames_nobody(quarantine):
+def test_simultaneous_deaths_of_many_servers_blame_no_request(quarantine):
     for number in range(SERVERS - 2):
         crash(quarantine, number, 10.0 * number, [1000 + number])
     crash(quarantine, 4, 50.0, [INNOCENT])
@@ -84,7 +84,7 @@
     assert quarantine.status_of(INNOCENT, 70.0) is QuarantineStatus.SUSPECT
 
 
-def test_weighing_chance_is_what_saves_it():
+def test_without_weigh_chance_simultaneous_deaths_blame_a_request():
     quarantine = Quarantine(weigh_chance=False)
     for number in range(SERVERS - 2):
         crash(quarantine, number, 10.0 * number, [1000 + number])
@@ -101,14 +101,14 @@
     assert quarantine.servers_with_suspects(7.0) == ()
 
 
-def test_a_refusal_ends(quarantine):
+def test_a_refusal_expires(quarantine):
     crash(quarantine, 0, 0.0)
     crash(quarantine, 1, 20_000.0)
     assert quarantine.status_of(POISON, 500_000.0) is QuarantineStatus.REFUSED
     assert quarantine.status_of(POISON, 700_000.0) is QuarantineStatus.CLEAR
 
 
-def test_other_nodes_learn_a_refusal_and_add_up_deaths():
+def test_peers_merge_refusals_and_add_up_deaths():
     one, other, third = Quarantine(), Quarantine(), Quarantine()
     news = crash(one, 0, 0.0)
     other.merge(news, 1000.0, SERVERS)
@@ -119,7 +119,7 @@
     assert third.status_of(POISON, 6.0) is QuarantineStatus.REFUSED
 
 
-def test_learning_again_changes_nothing():
+def test_merging_again_changes_nothing():
     one, other = Quarantine(), Quarantine()
     news = crash(one, 0, 0.0)
     for _ in range(3):
--- a/tests/test_balancing_queueing.py
+++ b/tests/test_balancing_queueing.py
@@ -66,7 +66,7 @@
     assert older.state is TicketState.QUEUED
 
 
-def test_a_starved_class_is_refused_at_arrival_and_not_after_a_wait(busy):
+def test_a_starved_class_is_refused_on_arrival(busy):
     admission, tickets = busy
     now_ms = 2.0
     admission.request(request_at(now_ms, Priority.BULK, 60_000.0))
@@ -125,7 +125,7 @@
     assert refused.reason is RefusalReason.CLASS_CLOSED
 
 
-def test_a_cancelled_waiter_is_never_granted(busy):
+def test_a_cancelled_request_is_never_granted(busy):
     admission, tickets = busy
     waiting = admission.request(request_at(2.0)).ticket
     admission.cancel(waiting, 3.0)
@@ -133,7 +133,7 @@
     assert admission.waiting() == 0
 
 
-def test_refusals_spread_the_return_of_callers(busy):
+def test_refusals_have_jittered_retry_times(busy):
     admission, _ = busy
     times = set()
     for _ in range(60):
--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -15,7 +15,7 @@
     RetryBudget,
     decide_retry,
     limit_budget,
-    next_budget,
+    reduce_budget,
 )
 from azurestep.config.model import RetryRule
 
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("kind", [OutcomeKind.CONNECT_FAILED, OutcomeKind.SHED])
-def test_what_did_not_run_is_retried_even_if_not_idempotent(kind):
+def test_a_request_that_did_not_run_is_retried_even_if_not_idempotent(kind):
     assert decide(kind=kind, idempotent=False) == Retry()
 
 
@@ -57,7 +57,7 @@
         ({"kind": OutcomeKind.CANCELLED}, GiveUpReason.CANCELLED),
     ],
 )
-def test_obstacles(changes, reason):
+def test_a_failed_attempt_that_must_not_be_repeated_is_given_up(changes, reason):
     assert decide(**changes) == GiveUp(reason, not_run=False)
 
 
@@ -66,7 +66,7 @@
     assert decide(kind=OutcomeKind.RESET, server_died=False) == Retry()
 
 
-def test_only_real_retries_take_from_the_budget():
+def test_only_actual_retries_spend_budget():
     budget = RetryBudget(0.1, tokens=1.0)
     decide(budget=budget, marked_final=True)
     assert decide(budget=budget) == Retry()
@@ -116,13 +116,13 @@
     budget = limit_budget(None, 0, 100.0)
     for hop in range(18):
         assert not budget.expired
-        budget = next_budget(budget, spent_ms=3.0)
+        budget = reduce_budget(budget, spent_ms=3.0)
         assert budget.depth == hop + 1
     assert budget.remaining_ms == pytest.approx(10.0)
-    assert next_budget(budget, spent_ms=9.0).expired
+    assert reduce_budget(budget, spent_ms=9.0).expired
 
 
-def test_a_caller_cannot_lengthen_the_timeout_and_circles_end():
+def test_a_caller_cannot_extend_the_timeout_and_loops_end():
     assert limit_budget(60_000.0, 0, 2000.0).remaining_ms == 2000.0
     assert not limit_budget(None, 18, 2000.0).too_deep
     assert limit_budget(None, 40, 2000.0).too_deep
--- a/tests/test_balancing_whole_answers.py
+++ b/tests/test_balancing_whole_answers.py
@@ -7,16 +7,16 @@
 
 from azurestep.balancing import (
     Abort,
-    CutAnswer,
     Resume,
     ResumedAnswer,
     RetryElsewhere,
-    continues,
-    decide_cut,
+    TruncatedAnswer,
+    decide_resumption,
+    is_continuation,
     is_whole,
 )
 
-CUT = CutAnswer(
+CUT = TruncatedAnswer(
     safe_get=True,
     declared_bytes=1000,
     delivered_bytes=400,
@@ -27,17 +27,19 @@
 WANTED = Resume(400, 999, '"v1"')
 
 
-def test_the_rest_is_asked_for():
-    assert decide_cut(CUT) == WANTED
+def test_the_rest_is_requested():
+    assert decide_resumption(CUT) == WANTED
 
 
 def test_a_partial_answer_resumes_inside_its_range():
-    assert decide_cut(attrs.evolve(CUT, first_byte=5000)) == Resume(5400, 5999, '"v1"')
+    assert decide_resumption(attrs.evolve(CUT, first_byte=5000)) == Resume(
+        5400, 5999, '"v1"'
+    )
 
 
-def test_before_the_head_the_request_goes_elsewhere():
+def test_an_answer_truncated_before_its_head_is_retried():
     cut = attrs.evolve(CUT, head_delivered=False, delivered_bytes=0)
-    assert decide_cut(cut) == RetryElsewhere()
+    assert decide_resumption(cut) == RetryElsewhere()
 
 
 @pytest.mark.parametrize(
@@ -54,8 +56,8 @@
         {"delivered_bytes": 1001},
     ],
 )
-def test_otherwise_the_caller_sees_the_cut(changes):
-    assert decide_cut(attrs.evolve(CUT, **changes)) == Abort()
+def test_an_answer_that_cannot_be_resumed_is_aborted(changes):
+    assert decide_resumption(attrs.evolve(CUT, **changes)) == Abort()
 
 
 @pytest.mark.parametrize(
@@ -71,10 +73,10 @@
     ],
 )
 def test_only_the_exact_rest_of_the_same_entity_is_appended(answer, accepted):
-    assert continues(WANTED, answer) is accepted
+    assert is_continuation(WANTED, answer) is accepted
 
 
-def test_whole_bodies():
+def test_a_body_is_whole_only_with_its_declared_or_marked_end():
     assert is_whole(10, 10, ended_cleanly=False)
     assert not is_whole(10, 9, ended_cleanly=True)
     assert not is_whole(10, 11, ended_cleanly=True)
@@ -88,7 +90,7 @@
     delivered = b""
     cut = attrs.evolve(CUT, declared_bytes=len(body), delivered_bytes=0)
     for number, length in enumerate(cuts):
-        decision = decide_cut(
+        decision = decide_resumption(
             attrs.evolve(cut, delivered_bytes=len(delivered), resumptions=number)
         )
         if not isinstance(decision, Resume):
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -43,7 +43,7 @@
     writer,
 )
 from azurestep.audit import records as audit
-from azurestep.balancing import Budget, GiveUpReason, RefusalReason
+from azurestep.balancing import DeadlineBudget, GiveUpReason, RefusalReason
 from azurestep.cli.options import AuditQuestion
 from azurestep.config import document as documents
 from azurestep.config import fold_events as folded
@@ -787,7 +787,7 @@
     fields = CIMultiDict({"Host": "songs.example:80", "X-Kind": "live", "TE": "x"})
     match = table.match("songs.example", "/songs", "POST", fields)
     assert match is not None
-    budget = Budget(600.5, 2)
+    budget = DeadlineBudget(600.5, 2)
     return Call("POST", "/songs?q=a", fields, table, match, budget, 10.0, b"body")
 
 
@@ -796,7 +796,7 @@
 
 def test_request_to_a_backend_server() -> None:
     extra = {traffic_headers.IDEMPOTENCY_KEY: "k"}
-    check("request_head", request_head(sample_call(), Budget(550.5, 3), extra))
+    check("request_head", request_head(sample_call(), DeadlineBudget(550.5, 3), extra))
     check("call_fingerprint", sample_call().fingerprint)
 
 
--- a/tests/test_traffic_silent.py
+++ b/tests/test_traffic_silent.py
@@ -77,8 +77,8 @@
     (state,) = pool.admission.balancer.pools[0].members
 
     assert not state.ejected
-    assert state.failures == 0
-    assert state.success > 0.999
+    assert state.consecutive_failures == 0
+    assert state.success_ratio > 0.999
 
 
 async def test_a_payment_never_uses_a_pooled_connection(http, relay, start_traffic):
--- a/tests/test_traffic_stopping.py
+++ b/tests/test_traffic_stopping.py
@@ -128,4 +128,4 @@
     await wait_until(lambda: proxy.in_flight == 0)
     (state,) = proxy._pools["catalogue"].admission.balancer.pools[0].members
 
-    assert state.outstanding == 0
+    assert state.in_flight == 0
