--- a/azurestep/balancing/__init__.py
+++ b/azurestep/balancing/__init__.py
@@ -1,38 +1,38 @@
-"""Traffic decisions: choice, limits, retries, quarantine and whole answers.
+"""Traffic decisions: load balancing, limits, retries, quarantine, truncated answers.
 
-All of them are pure: typed messages, a monotonic time in milliseconds and a
+The decisions are pure: typed messages, a monotonic time in milliseconds and a
 ``random.Random`` go in, typed messages come out. Nothing here opens a socket,
 reads a clock or logs.
 
-How a proxy drives them, per service:
+How a proxy uses them, per service:
 
-1. Keep one ``Admission``, one ``RetryBudget`` and one ``Quarantine``. Feed the
-   directory with ``Admission.replace_endpoints`` on each change, a new
-   configuration with ``configure``, load reports with ``report``.
-2. On arrival compute ``limit_budget``; answer "not run" when it is ``expired``
-   or ``too_deep``. A re-send from a caller below takes ``RetryBudget.spend``
-   (refuse with ``RETRY_BUDGET`` if that is false), any other request counts
-   with ``earn``.
-3. If ``Quarantine.active``, compute the ``fingerprint`` and ask ``standing``:
-   refuse ``REFUSED``; for ``SUSPECT`` add ``Quarantine.occupied`` to ``avoid``
-   and never retry. Tell ``started`` and, at the end, ``answered``, ``lost`` or
-   ``ended``.
-4. ``Admission.request`` gives ``Admitted``, ``Queued`` or ``Refused``. After a
-   ``Queued``, the ticket comes back in a ``Granted`` or ``Dropped`` out of any
-   later ``finish``, ``cancel``, ``tick``, ``configure`` or
-   ``replace_endpoints``. Call ``tick`` at ``next_tick_ms`` or every 50 ms.
-5. Send with ``reduce_budget``. Every ``Admitted`` or ``Granted`` ends in exactly
-   one ``finish`` when the whole answer is through; its ``latency_ms`` runs to
-   the first byte of the answer.
-6. After a failure call ``finish`` first, then ``decide_retry``. For ``Retry``
-   ask ``Admission.request`` again with the tried keys in ``avoid``. For
-   ``ProbeFirst`` connect once to the same address, tell the quarantine
-   ``server_died`` or ``server_alive``, and ask again with ``server_died`` set.
-   ``GiveUp.mark_final`` goes into the ``Azurestep-Retried`` header of the answer;
-   set ``marked_final`` when a backend server's answer carries it.
-7. When a body ends too soon, ``decide_resumption`` says how to go on; check the head
-   of a resumed answer with ``is_continuation``. Never end a body that ``is_whole``
-   denies as though it were complete.
+1. Keep one ``Admission``, one ``RetryBudget`` and one ``Quarantine``. Pass the
+   backend servers to ``Admission.replace_endpoints`` on each change, a new
+   configuration to ``configure`` and load reports to ``report``.
+2. On arrival compute ``limit_budget``; answer "not run" if it is ``expired`` or
+   ``too_deep``. For a request that the caller sends again call
+   ``RetryBudget.spend`` and refuse with ``RETRY_BUDGET`` if it returns false; for
+   any other request call ``RetryBudget.earn``.
+3. If ``Quarantine.active``, compute the ``fingerprint`` and call ``status_of``. Refuse
+   ``REFUSED``; for ``SUSPECT`` add ``servers_with_suspects`` to ``avoid`` and never
+   retry. Call ``record_start`` and, at the end, ``record_answer``, ``record_loss``
+   or ``record_end``.
+4. ``Admission.request`` returns ``Admitted``, ``Queued`` or ``Refused``. The ticket
+   of a ``Queued`` is returned in a ``Granted`` or ``Dropped`` by a later ``finish``,
+   ``cancel``, ``tick``, ``configure`` or ``replace_endpoints``. Call ``tick`` at
+   ``next_tick_ms`` or every 50 ms.
+5. Send with ``reduce_budget``. Call ``finish`` exactly once for every ``Admitted``
+   or ``Granted``, after the whole answer was sent; its ``latency_ms`` is the time
+   to the first byte of the answer.
+6. After a failure call ``finish``, then ``decide_retry``. For ``Retry`` call
+   ``Admission.request`` again with the tried keys in ``avoid``. For ``ProbeFirst``
+   connect once to the same address, call the quarantine's ``record_death`` or
+   ``record_alive``, and call ``decide_retry`` again with ``server_died`` set.
+   ``GiveUp.mark_final`` sets the ``Azurestep-Retried`` header of the answer;
+   set ``marked_final`` if a backend server's answer has this header.
+7. After a truncated body call ``decide_resumption``, and check the head of a
+   resumed answer with ``is_continuation``. Never end a body as complete unless
+   ``is_whole`` returns true.
 
 Examples
 --------
--- a/azurestep/balancing/admission.py
+++ b/azurestep/balancing/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests to one service: limits, queues and refusals."""
+"""Admission control for one service: concurrency limits, queues and load shedding."""
 
 import random
 from collections.abc import Iterable
@@ -35,7 +35,7 @@
 
 
 class Admission:
-    """Decides for each request of one service: send, wait or refuse.
+    """Admits, queues or refuses the requests to one service.
 
     Parameters
     ----------
@@ -46,13 +46,14 @@
     data_centre, instance : str
         Where this node runs.
     source : random.Random
-        Source of the random choices and of jitter.
+        Random number generator for the choices and the jitter.
     limiter : LimiterKind or None
-        How limits adapt; None follows the service's rule.
+        How concurrency limits adapt; None follows the service's rule.
     discipline : Discipline
         Order of the queues.
     throttled : bool
-        Whether a share of requests is refused early where limits can't bite.
+        Whether a share of the requests to an adaptive service is shed while its
+        concurrency limits aren't binding.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
 
     @property
     def balancer(self) -> Balancer:
-        """Choice among the backend servers, for status pages."""
+        """Load balancer of the service."""
         return self._balancer
 
     @property
@@ -90,17 +91,17 @@
 
     @property
     def expected_ms(self) -> float:
-        """Time that an attempt should be given: mean latency plus deviation."""
+        """Expected time of an attempt: mean latency plus mean deviation."""
         return self._latency.value + self._latency.deviation
 
     def waiting(self) -> int:
-        """Return the number of waiting requests."""
+        """Return the number of queued requests."""
         return self._queues.waiting()
 
     def configure(
         self, service: Service, shares: ClassShares, now_ms: float
     ) -> list[Release]:
-        """Take over the rules of another configuration version or preset."""
+        """Apply the rules of another configuration version or preset."""
         self._service = service
         self._shares = shares
         self._throttled = service.limits.adaptive and self._may_throttle
@@ -110,16 +111,16 @@
     def replace_endpoints(
         self, endpoints: Iterable[Endpoint], now_ms: float
     ) -> list[Release]:
-        """Take over the directory's present list of the service."""
+        """Replace the backend servers of the service."""
         self._balancer.replace(endpoints, now_ms)
         return self.tick(now_ms)
 
     def report(self, report: LoadReport) -> None:
-        """Take a backend server's own word as a hint."""
+        """Apply a backend server's load report to its weight."""
         self._balancer.report(report)
 
     def request(self, request: RequestArrived) -> Decision:
-        """Decide on a request or on a further attempt at one."""
+        """Admit, queue or refuse a request or a further attempt at one."""
         now_ms = request.now_ms
         self._balancer.review(now_ms)
         if now_ms >= request.deadline_ms:
@@ -180,7 +181,7 @@
         return Refused(reason, self.retry_after_ms(reason, now_ms))
 
     def retry_after_ms(self, reason: RefusalReason, now_ms: float) -> float:
-        """Return a jittered time after which a caller may ask again."""
+        """Return a jittered time after which a caller may send again."""
         base_ms = DEFAULT_RETRY_AFTER_MS
         drain = self._drain.per_ms(now_ms)
         is_closed = reason in (RefusalReason.NO_ENDPOINT, RefusalReason.CLASS_CLOSED)
@@ -196,7 +197,7 @@
         self._balancer.start(state)
 
     def finish(self, ticket: Ticket, outcome: Outcome, now_ms: float) -> list[Release]:
-        """Free the slot of an attempt and learn from its outcome.
+        """Free the slot of an attempt and record its outcome.
 
         A ticket that already ended is ignored, so that a late answer can't free
         a slot twice.
@@ -220,18 +221,18 @@
             self._latency.add(outcome.latency_ms)
 
     def cancel(self, ticket: Ticket, now_ms: float) -> list[Release]:
-        """Take out a waiting request whose caller went away."""
+        """Remove a queued request whose caller disconnected."""
         if ticket.state is TicketState.QUEUED:
             self._queues.queue(ticket.request.priority).remove(ticket, dropped=False)
         return self._release(now_ms)
 
     def tick(self, now_ms: float) -> list[Release]:
-        """Drop what can't make its deadline and serve what can be served."""
+        """Drop expired requests and grant free slots to queued ones."""
         self._balancer.review(now_ms)
         return self._release(now_ms)
 
     def next_tick_ms(self) -> float | None:
-        """Return when ``tick`` has to be called at the latest, or None."""
+        """Return the time by which ``tick`` must be called, or None."""
         return self._queues.next_expiry_ms()
 
     def _release(self, now_ms: float) -> list[Release]:
--- a/azurestep/balancing/choice.py
+++ b/azurestep/balancing/choice.py
@@ -1,4 +1,4 @@
-"""Choice of a backend server for one request."""
+"""Load balancing over the backend servers of a service."""
 
 import random
 from collections.abc import Iterable
@@ -19,11 +19,11 @@
 
 
 class Balancer:
-    """Chooses among the backend servers of one service.
+    """Chooses a backend server of one service for each request.
 
-    The choice takes constant time: two random members of a list of those that
-    are eligible and have a free slot. What needs all members is done by ``review``,
-    at most every ``REVIEW_INTERVAL_MS``.
+    The choice takes constant time: the better of two random backend servers that
+    are eligible and have a free slot. ``review`` does what needs all of them, at
+    most every ``REVIEW_INTERVAL_MS``.
 
     Parameters
     ----------
@@ -32,9 +32,9 @@
     data_centre, instance : str
         Where this node runs.
     source : random.Random
-        Source of the random choices.
+        Random number generator for the choices.
     limiter : LimiterKind or None
-        How limits adapt; None follows the service's rule.
+        How concurrency limits adapt; None follows the service's rule.
     """
 
     def __init__(
@@ -68,28 +68,28 @@
 
     @property
     def pools(self) -> list[DataCentrePool]:
-        """Backend servers by data centre, the node's own one first."""
+        """Backend servers by data centre, the local one first."""
         return [self._local_pool, *self._remote_pools]
 
     def limits_binding(self) -> bool:
-        """Return whether this node's limits are in use and can still fall."""
+        """Return whether the concurrency limits are in use and can still fall."""
         capacity = self.capacity
         in_flight = sum(pool.total_in_flight for pool in self.pools)
         can_fall = capacity >= MIN_MEAN_LIMIT * len(self._states)
         return can_fall and in_flight >= BUSY_RATIO * capacity
 
     def knows_any(self) -> bool:
-        """Return whether any backend server may get new requests."""
+        """Return whether any backend server isn't leaving."""
         return any(not s.endpoint.leaving for s in self._states.values())
 
     def configure(self, service: Service, now_ms: float) -> None:
-        """Take over changed rules; what was observed is kept."""
+        """Apply changed rules; the records of the backend servers stay."""
         self._service = service
         self._detector.rule = service.selection
         self.replace([state.endpoint for state in self._states.values()], now_ms)
 
     def replace(self, endpoints: Iterable[Endpoint], now_ms: float) -> None:
-        """Take over the directory's present list; records of those kept stay."""
+        """Replace the backend servers; the records of those that remain stay."""
         previous_states = self._states
         self._states = {}
         for endpoint in endpoints:
@@ -129,7 +129,10 @@
         self._pools = {pool.data_centre: pool for pool in self.pools}
 
     def report(self, report: LoadReport) -> None:
-        """Take a backend server's own word as a hint that shifts some load."""
+        """Lower the weight of a backend server by its load report.
+
+        The effect is bounded, so that a wrong report shifts only some load.
+        """
         state = self._states.get(report.key)
         if state is None:
             return
@@ -140,7 +143,7 @@
         state.update_weight()
 
     def review(self, now_ms: float) -> None:
-        """Eject and restore backend servers and move their ramps, when due."""
+        """Eject and restore backend servers and update their ramps, if due."""
         if now_ms < self._next_review_ms:
             return
         self._next_review_ms = now_ms + REVIEW_INTERVAL_MS
@@ -170,7 +173,7 @@
         Parameters
         ----------
         avoid : tuple of EndpointKey
-            Those that were tried; ignored when the service has no other.
+            Backend servers to skip; ignored if no other one is eligible.
         """
         if avoid and not self._has_other(avoid):
             avoid = ()
@@ -223,7 +226,7 @@
         return local
 
     def start(self, state: EndpointState) -> None:
-        """Count an attempt that is about to be sent."""
+        """Count an attempt as in flight."""
         state.in_flight += 1
         pool = self._pools[state.endpoint.data_centre]
         if state.eligible:
@@ -231,7 +234,7 @@
         pool.update_availability(state)
 
     def finish(self, endpoint: Endpoint, outcome: Outcome, now_ms: float) -> None:
-        """Count the end of an attempt and learn from it."""
+        """Count an attempt as ended, record its outcome and eject if due."""
         state = self._states.get(endpoint.key)
         if state is None:
             return
--- a/azurestep/balancing/deadlines.py
+++ b/azurestep/balancing/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines that travel with a request from hop to hop."""
+"""Propagation of deadlines from hop to hop."""
 
 import attrs
 
@@ -13,7 +13,7 @@
     Attributes
     ----------
     remaining_ms : float
-        Time until the caller gives up, on the clock of nobody: it is relative.
+        Time until the caller's deadline.
     depth : int
         Calls above this one; 0 for the outermost.
     """
@@ -23,12 +23,12 @@
 
     @property
     def expired(self) -> bool:
-        """Whether sending the request would be in vain."""
+        """Whether no time is left."""
         return self.remaining_ms <= 0.0
 
     @property
     def too_deep(self) -> bool:
-        """Whether the calls most likely go round in a circle."""
+        """Whether the depth suggests a loop of calls."""
         return self.depth > MAX_DEPTH
 
 
@@ -40,9 +40,9 @@
     Parameters
     ----------
     remaining_ms : float or None
-        What the caller says; None when it says nothing.
+        Remaining time by the caller's header; None without one.
     depth : int
-        Depth that the caller says; 0 when it says nothing.
+        Depth by the caller's header; 0 without one.
     timeout_ms : float
         Timeout of the route or service, an upper bound.
 
@@ -61,10 +61,10 @@
 def reduce_budget(
     budget: DeadlineBudget, spent_ms: float, allowance_ms: float = HOP_ALLOWANCE_MS
 ) -> DeadlineBudget:
-    """Return what is told to the backend server.
+    """Return the budget of the call to the next hop.
 
-    The allowance keeps time for the answer's way back, so that the inner call
-    ends before the outer one gives up.
+    The allowance is time for the answer's return, so that the inner call ends
+    before the outer one times out.
 
     Examples
     --------
--- a/azurestep/balancing/ejection.py
+++ b/azurestep/balancing/ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of backend servers by what was seen on real requests."""
+"""Passive health checks: ejection of backend servers by the outcomes of requests."""
 
 import statistics
 
@@ -21,20 +21,19 @@
 
 @attrs.define
 class OutlierDetector:
-    """Decides which backend servers of one service rest for a while.
+    """Ejects the outliers among the backend servers of one service.
 
-    An outlier is judged against its peers only: when most of them fail, the
-    cause isn't the single backend server, and ejecting it would only move its
-    load to the others.
+    An outlier is compared with the other backend servers only: if most of them
+    fail, ejecting one would just move its load to the others.
 
     Attributes
     ----------
     rule : SelectionRule
-        Largest ejected share and duration of a first ejection.
+        Maximum share ejected and duration of a first ejection.
     peer_success_ratio : float
-        Median smoothed success of the eligible ones at the last review.
+        Median success ratio of the eligible backend servers at the last review.
     peer_latency_ms : float
-        Their median smoothed latency; 0 while too few are known.
+        Their median latency; 0 while fewer than two have enough samples.
     """
 
     rule: SelectionRule
@@ -42,7 +41,7 @@
     peer_latency_ms: float = 0.0
 
     def should_eject(self, state: EndpointState) -> bool:
-        """Return whether the last failure in a row is one too many."""
+        """Return whether a backend server has too many consecutive failures."""
         on_probation = state.ejections > 0 and state.samples < PROBATION_SAMPLES
         threshold = (
             EJECT_AFTER_PROBATION_FAILURES if on_probation else EJECT_AFTER_FAILURES
@@ -53,7 +52,7 @@
         )
 
     def find_outliers(self, states: list[EndpointState]) -> list[EndpointState]:
-        """Return the eligible ones that are far worse than the median, worst first."""
+        """Return the eligible ones far worse than the median, worst first."""
         sampled = [s for s in states if s.eligible and s.samples >= MIN_SAMPLES]
         if len(sampled) < 2:
             self.peer_success_ratio = 1.0
@@ -73,7 +72,7 @@
         return sorted(outliers, key=lambda s: (s.success_ratio, -s.latency_ms))
 
     def max_ejected(self, states: list[EndpointState]) -> int:
-        """Return how many of the service's backend servers may be ejected."""
+        """Return how many backend servers may be ejected at the same time."""
         count = sum(not state.endpoint.leaving for state in states)
         if count < 2 or self.rule.ejection_ratio <= 0:
             return 0
@@ -82,7 +81,7 @@
     def eject(
         self, state: EndpointState, states: list[EndpointState], now_ms: float
     ) -> bool:
-        """Eject the backend server unless the cap is reached."""
+        """Eject a backend server unless the maximum is reached."""
         ejected = sum(s.ejected for s in states if not s.endpoint.leaving)
         if not state.eligible or ejected >= self.max_ejected(states):
             return False
@@ -92,7 +91,7 @@
         return True
 
     def restore(self, states: list[EndpointState], now_ms: float) -> bool:
-        """Return the ejected whose time is over, or that exceed the cap."""
+        """Restore backend servers whose ejection expired or exceeds the maximum."""
         ejected = [s for s in states if s.ejected and not s.endpoint.leaving]
         ejected.sort(key=lambda s: s.ejected_until_ms)
         excess = max(0, len(ejected) - self.max_ejected(states))
@@ -107,7 +106,7 @@
         return restored
 
     def decay_ejections(self, state: EndpointState, now_ms: float) -> None:
-        """Halve the memory of ejections after a healthy stretch."""
+        """Halve the count of ejections after a healthy period."""
         healthy = state.samples >= 10 * PROBATION_SAMPLES and state.success_ratio > 0.9
         if state.ejections == 0 or state.ejected or not healthy:
             return
--- a/azurestep/balancing/endpoint_state.py
+++ b/azurestep/balancing/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What this node saw of each backend server, grouped by data centre."""
+"""Statistics of each backend server, grouped by data centre."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 @attrs.define(eq=False)
 class EndpointState:
-    """Running record of one backend server.
+    """Statistics and state of one backend server.
 
     Attributes
     ----------
@@ -30,23 +30,25 @@
     success_ratio : float
         Smoothed share of attempts that succeeded, 0 to 1.
     latency_ms : float
-        Smoothed latency of attempts that were answered.
+        Smoothed latency of successes and timeouts.
     samples : int
-        Attempts since the record began or the last return.
+        Attempts since the first one or since the end of the last ejection.
     consecutive_failures : int
-        Failures in a row.
+        Failures since the last success.
     ramp_start_ms : float
-        When its present cold-start ramp began.
+        Start of the slow-start ramp.
     ramp : float
         Progress of the ramp, 0 to 1.
     report_weight : float
-        Weight from its own reports, bounded so that it only shifts load.
+        Weight from its load reports; it has a lower bound above 0.
     ejected_until_ms : float
-        End of the present ejection; negative infinity when there is none.
+        End of the ejection; negative infinity if it isn't ejected.
     ejections : int
-        Ejections in the recent past; each doubles the next duration.
+        Recent ejections; each doubles the next duration.
     available_index : int
-        Index in the pool's list of available ones; -1 when not available.
+        Index in the pool's list of available ones; -1 if not available.
+    weight : float
+        Share of the load that it should get, relative to the others.
     """
 
     endpoint: Endpoint
@@ -76,11 +78,11 @@
 
     @property
     def eligible(self) -> bool:
-        """Whether it may get new requests at all."""
+        """Whether it may get new requests: neither leaving nor ejected."""
         return not self.endpoint.leaving and self.ejected_until_ms == float("-inf")
 
     def update_weight(self) -> None:
-        """Recompute the weight from slots, ramp, success and hint."""
+        """Recompute the weight from slots, ramp, success ratio and load report."""
         success = (
             1.0 if self.success_ratio >= GOOD_SUCCESS_RATIO else self.success_ratio
         )
@@ -88,7 +90,7 @@
         self.weight = self.endpoint.slots * max(MIN_WEIGHT, share)
 
     def record_outcome(self, outcome: Outcome, now_ms: float) -> None:
-        """Take the outcome of one attempt into account."""
+        """Update the statistics with the outcome of one attempt."""
         kind = outcome.kind
         if kind is OutcomeKind.CANCELLED:
             return
@@ -109,16 +111,16 @@
         self.latency_ms += SMOOTHING_GAIN * (latency_ms - self.latency_ms)
 
     def decay_penalties(self, peer_latency_ms: float) -> None:
-        """Let an old record fade, once per review.
+        """Move success ratio and latency back towards normal, once per review.
 
-        A backend server that gets no requests could never clear it.
+        Otherwise a backend server without requests would keep a bad record.
         """
         self.success_ratio += PENALTY_DECAY * (1.0 - self.success_ratio)
         if self.latency_ms > peer_latency_ms > 0.0:
             self.latency_ms += PENALTY_DECAY * (peer_latency_ms - self.latency_ms)
 
     def clear(self) -> None:
-        """Drop what was observed, to judge the backend server anew."""
+        """Clear the statistics."""
         self.success_ratio = 1.0
         self.latency_ms = 0.0
         self.samples = 0
@@ -132,11 +134,11 @@
     Attributes
     ----------
     data_centre : str
-        Where they run.
+        Name of the data centre.
     members : list of EndpointState
-        All of them.
+        All backend servers.
     available : list of EndpointState
-        Those that are eligible and have a free slot, in no order.
+        Members that are eligible and have a free slot, in no order.
     total_in_flight : int
         Attempts in flight at eligible members.
     capacity : float
@@ -150,7 +152,7 @@
     capacity: float = 0.0
 
     def rebuild(self) -> None:
-        """Recompute what depends on which members are eligible."""
+        """Recompute totals and available members."""
         for state in self.members:
             state.available_index = -1
         self.available = []
@@ -161,7 +163,7 @@
             self.update_availability(state)
 
     def update_availability(self, state: EndpointState) -> None:
-        """Add the member to the available ones, or take it away."""
+        """Add a member to the available ones or remove it."""
         free = state.in_flight + 1 <= state.limiter.limit and state.eligible
         if free == (state.available_index >= 0):
             return
--- a/azurestep/balancing/limiter.py
+++ b/azurestep/balancing/limiter.py
@@ -1,4 +1,4 @@
-"""Adaptive concurrency limits of one backend server as seen from one node."""
+"""Adaptive concurrency limits of one node at one backend server."""
 
 import math
 from enum import StrEnum
@@ -35,53 +35,60 @@
 
 
 class Limiter(Protocol):
-    """A concurrency limit that follows samples."""
+    """A concurrency limit that adapts to the outcomes of attempts."""
 
     limit: float
 
     def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
-        """Take one finished attempt into account."""
+        """Record one finished attempt."""
         ...
 
 
 @attrs.define
 class FixedLimiter:
-    """The limit stays as configured."""
+    """A limit that never changes."""
 
     limit: float
 
     def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
-        """Ignore the sample."""
+        """Ignore the attempt."""
 
 
 @attrs.define
 class LatencyWindow:
-    """Mean latency over a few samples against a slowly drifting baseline.
+    """Mean latency over a window of samples, compared with a moving baseline.
 
-    The baseline rises more slowly than it falls, and while answers are slow it
-    hardly rises, so that a lasting overload isn't taken for the normal state;
-    yet it does rise, so that a service that became slower for good gets its
-    limit back. A mean is slow only if it is also beyond what the usual spread
-    of single answers explains; else a service with a few long answers would be
-    held back without any overload. A refusal by the server counts as a sign of
-    overload, but its quick answer is no latency.
+    The baseline rises slower than it falls, and hardly rises while answers are
+    slow: a lasting overload must not become the baseline, but a service that is
+    permanently slower must get its limit back. A mean counts as slow only if it
+    also exceeds the usual spread of single answers, so that a few long answers
+    aren't taken for overload. A refusal by the backend server is a sign of
+    overload, but its latency isn't counted.
 
-    Attempts sent before the window began are ignored: they show the state
-    before the last change, and acting on them again would overshoot.
+    Attempts sent before the window started are ignored: they reflect the state
+    before the last change of the limit, and counting them would overshoot.
 
     Attributes
     ----------
     tolerance : float
-        Multiple of the baseline from which a mean is slow.
+        Multiple of the baseline above which a mean is slow.
     max_age_ms : float
-        Age from which a window with fewer samples is full too.
+        Age at which a window with fewer samples counts as full.
     baseline_ms, deviation_ms : float
         Usual latency and its mean absolute deviation.
-    slow_windows : int
-        Slow windows in a row; a single one may be chance and is learnt from.
     baseline_samples : int
-        Answers that the baseline rests on; before there are
-        ``MIN_BASELINE_SAMPLES``, no mean is called slow.
+        Answers in the initial baseline; no mean counts as slow before there are
+        ``MIN_BASELINE_SAMPLES``.
+    slow_windows : int
+        Consecutive slow windows; the first one still moves the baseline.
+    total_ms, total_deviation_ms : float
+        Sum of the latencies and of their distances from the baseline.
+    samples, refusals, timeouts : int
+        Attempts in the window, and those that were refused or timed out.
+    peak_in_flight : int
+        Maximum of attempts in flight.
+    started_ms : float
+        Start of the window; NaN before the first sample.
     """
 
     tolerance: float = LATENCY_TOLERANCE
@@ -122,11 +129,11 @@
         return age_ms >= MIN_WINDOW_MS
 
     def is_overloaded(self) -> bool:
-        """Return whether the window shows that the server has too much to do."""
+        """Return whether the window shows an overload of the backend server."""
         return self.has_many_refusals() or self._is_slow()
 
     def has_many_refusals(self) -> bool:
-        """Return whether refusals and timeouts alone show an overload."""
+        """Return whether refusals and timeouts alone indicate an overload."""
         signs = self.refusals + self.timeouts
         return signs >= max(MIN_OVERLOAD_SIGNS, OVERLOAD_RATIO * self.samples)
 
@@ -136,7 +143,7 @@
         return self.total_ms / answered if answered else 0.0
 
     def decrease_factor(self, max_factor: float) -> float:
-        """Return the factor that an overload calls for, by its extent."""
+        """Return the factor by which to decrease a limit, by extent of the overload."""
         mean_ms = max(self.mean_ms(), 0.001)
         ratio = self.tolerance * self.baseline_ms / mean_ms
         return max(MIN_DECREASE_FACTOR, min(max_factor, ratio))
@@ -150,7 +157,7 @@
         return self.mean_ms() > slow_ms
 
     def restart(self, now_ms: float) -> None:
-        """Move the baseline and begin the next window."""
+        """Update the baseline and start the next window."""
         answered = self.samples - self.refusals
         if answered and self.baseline_samples < MIN_BASELINE_SAMPLES:
             self._initialise_baseline(answered)
@@ -187,14 +194,14 @@
 
 @attrs.define
 class AimdLimiter:
-    """Additive increase while the window is quick, multiplicative decrease else."""
+    """Additive increase, multiplicative decrease after an overloaded window."""
 
     limit: float
     max_limit: float
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
     def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
-        """Take one finished attempt into account."""
+        """Record one finished attempt; a full window moves the limit."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
             return
@@ -207,14 +214,14 @@
 
 @attrs.define
 class GradientLimiter:
-    """The limit follows the ratio of the baseline to the present latency."""
+    """A limit that follows the ratio of the baseline to the current latency."""
 
     limit: float
     max_limit: float
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
     def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
-        """Take one finished attempt into account."""
+        """Record one finished attempt; a full window moves the limit."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
             return
@@ -235,7 +242,7 @@
 
 
 def make_limiter(kind: LimiterKind, slots: int) -> Limiter:
-    """Return a limiter that starts at, and never exceeds, the slots."""
+    """Return a limiter that starts at the number of slots and never exceeds it."""
     if kind is LimiterKind.AIMD:
         return AimdLimiter(float(slots), float(slots))
     if kind is LimiterKind.GRADIENT:
--- a/azurestep/balancing/messages.py
+++ b/azurestep/balancing/messages.py
@@ -1,7 +1,6 @@
-"""Messages that go into and come out of the traffic decisions.
+"""Inputs and outputs of the traffic decisions.
 
-Times are monotonic milliseconds of the node that decides. A duration that
-crosses to another node is relative.
+Times are milliseconds of this node's monotonic clock.
 """
 
 from enum import StrEnum
@@ -14,20 +13,20 @@
 
 @attrs.frozen
 class Endpoint:
-    """A backend server as the directory knows it.
+    """A backend server in the directory.
 
     Attributes
     ----------
     key : EndpointKey
-        Identity.
+        Address and incarnation.
     service, instance, data_centre : str
         What it serves and where it runs.
     slots : int
-        Requests that it works on at the same time.
+        Requests that it processes concurrently.
     announced_ms : float
-        When this incarnation was first announced, on this node's clock.
+        Time at which this incarnation was first announced to this node.
     leaving : bool
-        Whether it drains; it then gets no new request.
+        Whether it is draining; it then gets no new requests.
     """
 
     key: EndpointKey
@@ -41,16 +40,16 @@
 
 @attrs.frozen
 class LoadReport:
-    """What a backend server says about itself; taken as a hint only.
+    """A backend server's report of its own load; a hint for the weights.
 
     Attributes
     ----------
     key : EndpointKey
-        Who reports.
+        The backend server.
     load : float
         Share of its slots in use, 0 to 1.
     healthy : bool
-        Whether it calls itself healthy.
+        Whether it reports itself as healthy.
     """
 
     key: EndpointKey
@@ -77,14 +76,13 @@
     Attributes
     ----------
     kind : OutcomeKind
-        ``SUCCESS`` for any answer that isn't the server's own failure (a 404
-        is one); ``ERROR`` for 5xx; ``SHED`` for a refusal that says "not run";
-        ``RESET`` for a connection lost after the first request byte;
-        ``CANCELLED`` when the caller went away (it says nothing about the
-        backend server).
+        ``SUCCESS`` for any answer below 500; ``ERROR`` for 5xx; ``SHED`` for a
+        refusal with the "not run" header; ``RESET`` for a connection lost after
+        the first request byte; ``CANCELLED`` if the caller disconnected, which
+        isn't counted against the backend server.
     latency_ms : float
-        Time from sending the request until the first byte of the answer, or
-        until the failure.
+        Time from sending the request to the first byte of the answer, or to the
+        failure.
     """
 
     kind: OutcomeKind
@@ -92,7 +90,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a request was not run."""
+    """Why a request was refused."""
 
     NO_ENDPOINT = "no_endpoint"
     CLASS_CLOSED = "class_closed"
@@ -107,7 +105,7 @@
 
 @attrs.frozen
 class RequestArrived:
-    """A request, or a further attempt at one, asks for a backend server.
+    """A request, or a further attempt at one, that needs a backend server.
 
     Attributes
     ----------
@@ -116,10 +114,9 @@
     now_ms : float
         Time of arrival.
     deadline_ms : float
-        Time at which the caller gives up.
+        The caller's deadline.
     avoid : tuple of EndpointKey
-        Backend servers that were tried before; they are chosen only if the
-        service has no other.
+        Backend servers to choose only if no other one is eligible.
     """
 
     priority: Priority
@@ -129,7 +126,7 @@
 
 
 class TicketState(StrEnum):
-    """Where a ticket stands."""
+    """State of a ticket."""
 
     QUEUED = "queued"
     GRANTED = "granted"
@@ -143,11 +140,11 @@
     Attributes
     ----------
     request : RequestArrived
-        What was asked.
+        The request.
     state : TicketState
-        Where it stands; only the admission changes it.
+        Its state; only ``Admission`` changes it.
     endpoint : Endpoint or None
-        Chosen backend server, once granted.
+        The backend server, once granted.
     """
 
     request: RequestArrived
@@ -165,21 +162,21 @@
 
 @attrs.frozen
 class Queued:
-    """The request waits; a later ``Granted`` or ``Dropped`` decides it."""
+    """The request is queued; a ``Granted`` or ``Dropped`` follows."""
 
     ticket: Ticket
 
 
 @attrs.frozen
 class Refused:
-    """The request was not run and is answered at once.
+    """The request is refused without having run.
 
     Attributes
     ----------
     reason : RefusalReason
-        Why.
+        Why it is refused.
     retry_after_ms : float
-        Jittered time after which it is worth asking again.
+        Jittered time after which the caller may send again.
     """
 
     reason: RefusalReason
@@ -188,7 +185,7 @@
 
 @attrs.frozen
 class Granted:
-    """A waiting request may be sent to the endpoint now."""
+    """A queued request may be sent to the endpoint now."""
 
     ticket: Ticket
     endpoint: Endpoint
@@ -196,7 +193,7 @@
 
 @attrs.frozen
 class Dropped:
-    """A waiting request was not run and is answered at once."""
+    """A queued request is refused without having run."""
 
     ticket: Ticket
     reason: RefusalReason
--- a/azurestep/balancing/queueing.py
+++ b/azurestep/balancing/queueing.py
@@ -1,4 +1,4 @@
-"""Small queues of requests, one per class, with immediate drops."""
+"""Bounded queues of requests, one per class."""
 
 import heapq
 import itertools
@@ -16,10 +16,10 @@
 
 
 class Discipline(StrEnum):
-    """How a queue behaves once it hasn't been empty for ``STANDING_AFTER_MS``.
+    """What changes once a queue hasn't been empty for ``STANDING_AFTER_MS``.
 
-    ``FIFO`` goes on as before. ``ADAPTIVE_LIFO`` serves the newest first.
-    ``CONTROLLED_DELAY`` allows ``STANDING_WAIT_RATIO`` of the usual wait.
+    ``FIFO``: nothing. ``ADAPTIVE_LIFO``: the newest request is served first.
+    ``CONTROLLED_DELAY``: the maximum wait is ``STANDING_WAIT_RATIO`` of the timeout.
     """
 
     FIFO = "fifo"
@@ -29,23 +29,26 @@
 
 @attrs.define
 class ClassQueue:
-    """Waiting requests of one class.
+    """Queued requests of one class.
 
     Attributes
     ----------
+    priority : Priority
+        The class.
+    discipline : Discipline
+        Order of the queue.
     tickets : collections.deque of Ticket
-        Waiting ones in order of arrival; dropped ones stay until they reach
-        an end.
+        Tickets in order of arrival; dropped ones stay until they reach an end.
     length : int
-        Number that really wait.
+        Number of tickets that still wait.
     in_flight : int
-        Requests of the class that run now.
+        Requests of the class at backend servers.
     standing_since_ms : float
-        Start of the period in which the queue was never emptied by service.
+        Start of the period in which grants never emptied the queue.
     measured_from_ms, grant_count : float
-        Decayed period and number of grants that the pace is measured by.
+        Start of the measured period and grants in it, both decayed.
     emptied_by_drops : bool
-        Whether the queue last became empty by drops.
+        Whether drops, and not grants, last emptied the queue.
     """
 
     priority: Priority
@@ -74,7 +77,7 @@
         self.grant_count = 0.0
 
     def is_standing(self, now_ms: float) -> bool:
-        """Return whether the queue is more than a short burst."""
+        """Return whether the queue has been non-empty for ``STANDING_AFTER_MS``."""
         has_backlog = self.length > 0 or self.emptied_by_drops
         return has_backlog and now_ms - self.standing_since_ms >= STANDING_AFTER_MS
 
@@ -82,21 +85,21 @@
         return self.discipline is Discipline.ADAPTIVE_LIFO and self.is_standing(now_ms)
 
     def max_wait_ms(self, timeout_ms: float, now_ms: float) -> float:
-        """Return the longest wait that a newcomer is let in for."""
+        """Return the maximum wait of a new request."""
         controlled = self.discipline is Discipline.CONTROLLED_DELAY
         if controlled and self.is_standing(now_ms):
             return STANDING_WAIT_RATIO * timeout_ms
         return timeout_ms
 
     def expected_wait_ms(self, mean_interval_ms: float, now_ms: float) -> float:
-        """Return how long a newcomer most likely waits.
+        """Return the expected wait of a new request.
 
         Parameters
         ----------
         mean_interval_ms : float
-            Time between two grants while nothing is measured yet.
+            Time between two grants, assumed before any is measured.
         now_ms : float
-            Present time.
+            Current time.
         """
         if self.length == 0 or self._newest_first(now_ms):
             return 0.0
@@ -104,7 +107,7 @@
         return self.length * (age_ms + mean_interval_ms) / (self.grant_count + 1.0)
 
     def peek(self, now_ms: float) -> Ticket | None:
-        """Return the next request to serve without taking it out, or None."""
+        """Return the next request to serve without removing it, or None."""
         newest_first = self._newest_first(now_ms)
         while self.tickets:
             ticket = self.tickets[-1 if newest_first else 0]
@@ -114,7 +117,7 @@
         return None
 
     def pop(self, now_ms: float) -> None:
-        """Take out what ``peek`` returned: it is served."""
+        """Remove the request that ``peek`` returned and count it as granted."""
         self._remove_end(self._newest_first(now_ms))
         self.length -= 1
         self.emptied_by_drops = False
@@ -130,7 +133,7 @@
             self.tickets.popleft()
 
     def remove(self, ticket: Ticket, dropped: bool) -> None:
-        """Take a request out that no longer waits."""
+        """Remove a request that was dropped or cancelled."""
         ticket.state = TicketState.DONE
         self.length -= 1
         self.emptied_by_drops = dropped or self.emptied_by_drops
@@ -139,8 +142,8 @@
 class ClassQueues:
     """Queues of all classes of one service.
 
-    Payment and interactive requests are served before bulk ones; of these two
-    the one that holds less of its share goes first.
+    Payment and interactive requests are served before bulk ones; of the two
+    classes, the one that uses less of its share is served first.
     """
 
     def __init__(self, discipline: Discipline) -> None:
@@ -153,23 +156,23 @@
         return self._queues[priority]
 
     def waiting(self) -> int:
-        """Return the number of waiting requests."""
+        """Return the number of queued requests."""
         return sum(queue.length for queue in self._queues.values())
 
     def push(self, ticket: Ticket, now_ms: float, expiry_ms: float) -> None:
-        """Let a request wait until ``expiry_ms`` at most."""
+        """Queue a request until ``expiry_ms`` at most."""
         self._queues[ticket.request.priority].push(ticket, now_ms)
         heapq.heappush(self._expiries, (expiry_ms, next(self._sequence), ticket))
 
     def next_expiry_ms(self) -> float | None:
-        """Return when the next waiting request is to be dropped."""
+        """Return when the next queued request expires, or None."""
         expiries = self._expiries
         while expiries and expiries[0][2].state is not TicketState.QUEUED:
             heapq.heappop(expiries)
         return expiries[0][0] if expiries else None
 
     def expired(self, now_ms: float) -> list[Ticket]:
-        """Take out and return the requests that have waited too long."""
+        """Remove and return the expired requests."""
         tickets = []
         while (expiry_ms := self.next_expiry_ms()) is not None and expiry_ms <= now_ms:
             ticket = heapq.heappop(self._expiries)[2]
--- a/azurestep/balancing/rates.py
+++ b/azurestep/balancing/rates.py
@@ -10,7 +10,7 @@
 
 @attrs.define
 class RateMeter:
-    """Events per millisecond over about the last second.
+    """Exponentially decayed rate of events.
 
     Attributes
     ----------
@@ -30,7 +30,7 @@
         self.updated_ms = now_ms
 
     def per_ms(self, now_ms: float) -> float:
-        """Return the present rate in events per millisecond."""
+        """Return the current rate in events per millisecond."""
         age_ms = now_ms - self.updated_ms
         return (
             self.count
@@ -41,14 +41,16 @@
 
 @attrs.define
 class SmoothedMean:
-    """Mean and mean deviation of the recent values; the first one counts whole.
+    """Exponentially smoothed mean and mean absolute deviation.
 
     Attributes
     ----------
     value : float
-        Mean.
+        Mean; the first value sets it.
     deviation : float
-        Mean absolute distance from the mean.
+        Mean absolute deviation.
+    is_empty : bool
+        Whether no value was added.
     """
 
     value: float = 0.0
@@ -56,7 +58,7 @@
     is_empty: bool = True
 
     def add(self, value: float) -> None:
-        """Take one value into account."""
+        """Add one value."""
         if self.is_empty:
             self.value = value
             self.is_empty = False
--- a/azurestep/balancing/retries.py
+++ b/azurestep/balancing/retries.py
@@ -1,4 +1,4 @@
-"""Retries: when, from which budget, and at which hop."""
+"""Retry policy and retry budget."""
 
 from enum import StrEnum
 
@@ -14,10 +14,11 @@
 
 @attrs.define
 class RetryBudget:
-    """Token bucket of one service, filled by first requests.
+    """Token bucket that limits the retries of one service.
 
-    Re-sends that arrive from callers below take from the same bucket as the
-    node's own retries, so that the two together stay within the ratio.
+    Requests that callers send again spend tokens of the same bucket as the node's
+    own retries, so that both together stay within the ratio. A small constant
+    refill allows retries of a service with little traffic.
 
     Attributes
     ----------
@@ -26,8 +27,7 @@
     tokens : float
         Retries allowed now.
     updated_ms : float
-        Time of the last refill; a small constant rate lets a service with
-        hardly any traffic retry at all.
+        Time of the last constant refill.
     """
 
     ratio: float
@@ -35,11 +35,11 @@
     updated_ms: float = 0.0
 
     def earn(self) -> None:
-        """Add a first request's share."""
+        """Add the tokens of a first request."""
         self.tokens = min(MAX_TOKENS, self.tokens + self.ratio)
 
     def spend(self, now_ms: float) -> bool:
-        """Take one retry out of the bucket; return whether there was one."""
+        """Spend one token on a retry; return whether there was one."""
         refill = max(0.0, now_ms - self.updated_ms) * MIN_TOKENS_PER_MS
         if self.ratio > 0:
             self.tokens = min(MAX_TOKENS, self.tokens + refill)
@@ -52,26 +52,26 @@
 
 @attrs.frozen
 class FailedAttempt:
-    """What is known of an attempt that failed.
+    """A failed attempt, as input of ``decide_retry``.
 
     Attributes
     ----------
     kind : OutcomeKind
         How it ended.
     attempts : int
-        Attempts at this hop so far, this one included.
+        Attempts at this hop so far, including this one.
     idempotent : bool
         Whether the request may run more than once.
     bytes_delivered : int
-        Bytes of the answer that the caller already has.
+        Bytes of the answer already sent to the caller.
     remaining_ms : float
-        Time until the caller gives up.
+        Time until the caller's deadline.
     expected_ms : float
-        Time that another attempt most likely takes.
+        Expected time of another attempt.
     marked_final : bool
-        Whether the answer says that a hop below already dealt with it.
+        Whether the answer says that a hop below already handled the failure.
     server_died : bool or None
-        After ``RESET``: whether the backend server is gone; None when unknown.
+        After ``RESET``: whether the backend server died; None if unknown.
     suspect : bool
         Whether the quarantine suspects the request.
     """
@@ -102,15 +102,15 @@
 
 @attrs.frozen
 class Retry:
-    """Try another backend server; avoid those already tried."""
+    """Try another backend server than those already tried."""
 
 
 @attrs.frozen
 class ProbeFirst:
-    """Open one fresh connection to the same backend server and ask again.
+    """Open a new connection to the same backend server, then decide again.
 
-    Refused: it died (``server_died=True``). Accepted with the incarnation
-    unchanged: only the connection was lost (``server_died=False``).
+    If it is refused, the backend server died (``server_died=True``); otherwise only
+    the connection was lost (``server_died=False``).
     """
 
 
@@ -121,11 +121,11 @@
     Attributes
     ----------
     reason : GiveUpReason
-        Why.
+        Why no other attempt is made.
     not_run : bool
-        Whether the request provably did not run at this attempt.
+        Whether the request provably did not run in this attempt.
     mark_final : bool
-        Whether the answer tells the hops above not to retry.
+        Whether hops above must not retry.
     """
 
     reason: GiveUpReason
@@ -139,9 +139,9 @@
 def decide_retry(
     attempt: FailedAttempt, rule: RetryRule, budget: RetryBudget, now_ms: float
 ) -> RetryDecision:
-    """Decide what follows a failed attempt.
+    """Decide whether to retry after a failed attempt.
 
-    The budget is asked last, so that only real retries take from it.
+    The budget is checked last, so that only actual retries spend tokens.
     """
     not_run = attempt.kind in NOT_RUN_KINDS
     reason = _find_give_up_reason(attempt, rule, not_run)
--- a/azurestep/balancing/throttle.py
+++ b/azurestep/balancing/throttle.py
@@ -1,8 +1,8 @@
-"""Share of requests that a node lets through to an overloaded service.
+"""Load shedding by a share of the requests to an overloaded service.
 
-A limit in requests can't fall below one. Where very many nodes call a service,
-each with hardly one request in flight, only a share below one holds the
-overload back.
+A concurrency limit can't fall below one request. If many nodes call a service
+with about one request in flight each, only shedding a share of the requests
+reduces the load.
 """
 
 import math
@@ -25,7 +25,7 @@
 
 @attrs.define
 class ArrivalMix:
-    """Recent arrivals of each class, exponentially decayed."""
+    """Exponentially decayed number of arrivals of each class."""
 
     interactive: float = 0.0
     payment: float = 0.0
@@ -49,18 +49,22 @@
 
 @attrs.define
 class Throttle:
-    """Lets a share of all arrivals through, payment first and bulk last.
+    """Admits a share of all arrivals; bulk requests are shed first, payments last.
 
-    The share falls from the second window in a row whose answers are slow or
-    refused, since a single one may be chance, and rises with each other one. It
-    leaves the work to the concurrency limits where these bite.
+    The share falls from the second consecutive overloaded window on, since a
+    single one may be chance, and rises after any other window. It doesn't fall
+    while the concurrency limits are binding.
 
     Attributes
     ----------
     admitted_ratio : float
-        Share of all arrivals let through, 0 to 1.
+        Share of all arrivals admitted, 0 to 1.
     overloaded_windows : int
-        Overloaded windows in a row.
+        Consecutive overloaded windows.
+    window : LatencyWindow
+        Latencies since the last change.
+    mix : ArrivalMix
+        Recent arrivals by class.
     """
 
     admitted_ratio: float = 1.0
@@ -71,14 +75,14 @@
     mix: ArrivalMix = attrs.field(factory=ArrivalMix)
 
     def admits(self, priority: Priority, now_ms: float, random_value: float) -> bool:
-        """Return whether an arrival is let through.
+        """Return whether an arrival is admitted.
 
         Parameters
         ----------
         priority : Priority
-            Its class.
+            Class of the request.
         now_ms : float
-            Present time.
+            Current time.
         random_value : float
             Random number from 0 to 1.
         """
@@ -86,7 +90,7 @@
         return self.admitted_ratio >= 1.0 or random_value < self.class_ratio(priority)
 
     def class_ratio(self, priority: Priority) -> float:
-        """Return the share of a class that is let through."""
+        """Return the share of a class that is admitted."""
         mix = self.mix
         remaining = self.admitted_ratio * (mix.interactive + mix.payment + mix.bulk)
         if priority is Priority.PAYMENT:
@@ -98,26 +102,26 @@
         return max(MIN_RATIO, remaining / max(mix.bulk, 1.0))
 
     def record(self, outcome: Outcome, now_ms: float) -> bool:
-        """Take a finished attempt into account; return whether to ``update_ratio``.
+        """Record a finished attempt; return whether the window is full.
 
         Parameters
         ----------
         outcome : Outcome
-            A success, timeout or refusal by the server.
+            A success, timeout or refusal by the backend server.
         now_ms : float
-            Present time.
+            Current time.
         """
         return self.window.add(outcome, 0, now_ms)
 
     def update_ratio(self, limits_binding: bool, now_ms: float) -> None:
-        """Move the share by the full window and begin the next.
+        """Update the admitted ratio by the full window and start the next one.
 
         Parameters
         ----------
         limits_binding : bool
-            Whether the node's concurrency limits hold the overload back.
+            Whether the concurrency limits already reduce the load.
         now_ms : float
-            Present time.
+            Current time.
         """
         if limits_binding or not self.window.is_overloaded():
             self.overloaded_windows = 0
--- a/azurestep/balancing/whole_answers.py
+++ b/azurestep/balancing/whole_answers.py
@@ -1,4 +1,4 @@
-"""What to do when the body of an answer ends before its end."""
+"""Resumption of truncated answers."""
 
 import attrs
 
@@ -9,29 +9,29 @@
 
 @attrs.frozen
 class TruncatedAnswer:
-    """An answer whose connection ended too soon.
+    """An answer whose connection ended before the end of the body.
 
     Attributes
     ----------
     safe_get : bool
         Whether the request is a GET that may run again.
     declared_bytes : int or None
-        Length of the body by its headers; None when it has none.
+        Length of the body by its headers; None if not declared.
     delivered_bytes : int
-        Bytes of the body that the caller already has.
+        Bytes of the body already sent to the caller.
     head_delivered : bool
-        Whether the caller already has the status line and headers.
+        Whether status line and headers were already sent to the caller.
     entity_tag : str
-        ``ETag`` header, empty when there is none.
+        ``ETag`` header, empty if there is none.
     accepts_ranges : bool
         Whether ``Accept-Ranges`` names bytes.
     first_byte : int
-        Offset of the body's first byte in the resource: 0 for a whole answer,
+        Offset of the body's first byte in the resource: 0 for a full answer,
         the start of the range for a partial one.
     resumptions : int
         Resumptions of this answer so far.
     remaining_ms : float
-        Time until the caller gives up.
+        Time until the caller's deadline.
     """
 
     safe_get: bool
@@ -47,12 +47,12 @@
 
 @attrs.frozen
 class Resume:
-    """Ask for the rest and append it.
+    """Request the rest of the body and append it.
 
     Attributes
     ----------
     range_start, range_end : int
-        First and last byte to ask for, both inclusive.
+        First and last byte to request, both inclusive.
     if_range : str
         Entity tag for ``If-Range``.
     """
@@ -64,12 +64,12 @@
 
 @attrs.frozen
 class RetryElsewhere:
-    """Nothing reached the caller: send the request again as a whole."""
+    """Nothing was sent to the caller: send the request to another backend server."""
 
 
 @attrs.frozen
 class Abort:
-    """Break the connection to the caller, so that it sees the cut."""
+    """Abort the connection to the caller, so that it detects the truncation."""
 
 
 @attrs.frozen
@@ -83,7 +83,7 @@
     entity_tag : str
         ``ETag`` header.
     range_start, range_end : int or None
-        From ``Content-Range``, inclusive.
+        From ``Content-Range``, both inclusive.
     """
 
     status: int
@@ -102,9 +102,9 @@
     declared_bytes : int or None
         Length by the headers; None for a chunked body.
     received_bytes : int
-        Bytes that came.
+        Bytes received.
     ended_cleanly : bool
-        Whether the protocol marked the end (the last chunk was seen).
+        Whether the end of the body was marked, as by the last chunk.
     """
     if declared_bytes is None:
         return ended_cleanly
@@ -112,7 +112,7 @@
 
 
 def decide_resumption(answer: TruncatedAnswer) -> Resume | RetryElsewhere | Abort:
-    """Decide what follows an answer that was cut short."""
+    """Decide how to continue after a truncated answer."""
     if not answer.safe_get or answer.remaining_ms <= 0:
         return Abort()
     if not answer.head_delivered:
@@ -146,7 +146,7 @@
 
 
 def is_continuation(requested: Resume, answer: ResumedAnswer) -> bool:
-    """Return whether a resumed answer may be appended to what was delivered."""
+    """Return whether a resumed answer is exactly the requested rest."""
     if answer.status != HTTP_PARTIAL_CONTENT:
         return False
     if answer.entity_tag != requested.if_range:
--- a/tests/test_balancing_bench.py
+++ b/tests/test_balancing_bench.py
@@ -1,4 +1,4 @@
-"""The overload bench in its quick form, and what it must show."""
+"""Results that the quick run of the overload benchmark must reach."""
 
 import orjson
 import pytest
--- a/tests/test_balancing_choice.py
+++ b/tests/test_balancing_choice.py
@@ -1,4 +1,4 @@
-"""Choice among backend servers, spill-over, ramps and ejection."""
+"""Load balancing: spill-over, slow start, load reports and ejection."""
 
 import random
 from collections import Counter
@@ -45,7 +45,7 @@
 
 
 def count_calls(balancer, outcome_of, count=600, start_ms=0.0):
-    """Return how many of some calls, 10 ms apart, each one got."""
+    """Return the number of calls per backend server, for calls 10 ms apart."""
     numbers = range(count)
     return Counter(
         call(balancer, start_ms + 10.0 * number, outcome_of) for number in numbers
@@ -53,7 +53,7 @@
 
 
 def run_idle(balancer, start_ms, end_ms):
-    """Let time pass without any call, as a node's ticks show it."""
+    """Run the reviews of a period without calls."""
     for now_ms in range(start_ms, end_ms, 250):
         balancer.review(float(now_ms))
 
--- a/tests/test_balancing_core.py
+++ b/tests/test_balancing_core.py
@@ -1,4 +1,4 @@
-"""First checks of the traffic decisions' interface."""
+"""Basic behaviour of ``Admission``: slots, queue and drops."""
 
 import random
 
--- a/tests/test_balancing_limits.py
+++ b/tests/test_balancing_limits.py
@@ -1,4 +1,4 @@
-"""Adaptive limits and the throttle for services shared by many nodes."""
+"""Adaptive concurrency limits and load shedding by the throttle."""
 
 import random
 
@@ -32,7 +32,7 @@
 
 
 def observe(state, kind, latency_ms, count, start_ms=0.0):
-    """Let attempts end every 20 ms and return when the next would."""
+    """Record an attempt every 20 ms; return the time of the next one."""
     state.in_flight = 12
     for number in range(count):
         state.record_outcome(Outcome(kind, latency_ms), start_ms + 20.0 * number)
@@ -88,7 +88,7 @@
 
 
 def drive(admission, kind, latency_ms, count, start_ms):
-    """Send one request at a time, as a node does that is one of very many."""
+    """Send one request at a time; return the share admitted."""
     admitted = 0
     for number in range(count):
         now_ms = start_ms + 100.0 * number
--- a/tests/test_balancing_queueing.py
+++ b/tests/test_balancing_queueing.py
@@ -1,4 +1,4 @@
-"""Queues of classes: order, shares, estimates and immediate drops."""
+"""Class queues: order, shares, estimated waits and drops."""
 
 import random
 
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def busy():
-    """Return an admission with both slots taken, and the two tickets."""
+    """Return an ``Admission`` with both slots in use, and the two tickets."""
     admission = make_admission()
     tickets = [admission.request(request_at(1.0)).ticket for _ in range(2)]
     return admission, tickets
@@ -156,7 +156,7 @@
 
 
 class Driver:
-    """Applies random actions and checks the invariants of tickets."""
+    """Applies random actions and checks the invariants of the tickets."""
 
     def __init__(self, discipline):
         self.admission = make_admission(slots=3, discipline=discipline)
--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -1,4 +1,4 @@
-"""Retries, their budget, and deadlines from hop to hop."""
+"""Retry decisions, the retry budget and deadline propagation."""
 
 import attrs
 import pytest
--- a/tests/test_balancing_whole_answers.py
+++ b/tests/test_balancing_whole_answers.py
@@ -1,4 +1,4 @@
-"""Answers that end too soon."""
+"""Truncated answers and their resumption."""
 
 import attrs
 import pytest
