--- a/azurestep/traffic/answers.py
+++ b/azurestep/traffic/answers.py
@@ -59,7 +59,7 @@
     return Refusal(status, CallOutcome.NOT_RUN, reason, retry_after_ms)
 
 
-def refusal_of(decision: GiveUp, attempt: Attempt) -> Refusal:
+def make_refusal(decision: GiveUp, attempt: Attempt) -> Refusal:
     """Return the refusal that ends the attempts at a request."""
     if decision.not_run:
         outcome, status = CallOutcome.NOT_RUN, UNAVAILABLE
@@ -71,7 +71,7 @@
     return Refusal(status, outcome, reason, RETRY_AFTER_MS, decision.mark_final)
 
 
-def answer_of(refusal: Refusal) -> web.Response:
+def make_answer(refusal: Refusal) -> web.Response:
     """Return the HTTP answer of a refusal."""
     fields = {headers.OUTCOME: refusal.outcome, headers.REASON: refusal.reason}
     if refusal.outcome is CallOutcome.NOT_RUN:
--- a/azurestep/traffic/attempt.py
+++ b/azurestep/traffic/attempt.py
@@ -16,9 +16,9 @@
 from .call import Call
 from .connection import BackendConnection
 from .connection_pool import ConnectFailedError, ConnectionPool
-from .hedge import Exchanged, Hedge, SupersededError
+from .hedge import ExchangeResult, Hedge, SupersededError
 from .hedge_policy import FirstByteTimes, HedgeBudget
-from .request_head import request_head
+from .request_head import build_request_head
 
 MS_PER_S = 1000
 SERVER_ERROR = 500
@@ -70,8 +70,8 @@
     def __init__(self, connections: ConnectionPool, clock: Clock) -> None:
         self._connections = connections
         self._clock = clock
-        self._times: dict[str, FirstByteTimes] = {}
-        self._hedges: dict[str, HedgeBudget] = {}
+        self._times_by_route: dict[str, FirstByteTimes] = {}
+        self._hedge_budgets: dict[str, HedgeBudget] = {}
 
     async def send(
         self,
@@ -86,12 +86,12 @@
             async with asyncio.timeout(max(0.0, remaining_ms) / MS_PER_S):
                 exchanged = await self._exchange(call, endpoint, extra)
         except ConnectFailedError:
-            return self._failed(OutcomeKind.CONNECT_FAILED, started_ms)
+            return self._make_failed_attempt(OutcomeKind.CONNECT_FAILED, started_ms)
         except TimeoutError:
-            return self._failed(OutcomeKind.TIMEOUT, started_ms)
+            return self._make_failed_attempt(OutcomeKind.TIMEOUT, started_ms)
         except (aiohttp.ClientError, HttpProcessingError, OSError):
-            return self._failed(OutcomeKind.RESET, started_ms)
-        return self._answered(call, endpoint, exchanged)
+            return self._make_failed_attempt(OutcomeKind.RESET, started_ms)
+        return self._make_attempt(call, endpoint, exchanged)
 
     async def probe(self, endpoint: Endpoint, timeout_ms: float) -> bool:
         """Return whether the backend server accepts a new connection."""
@@ -103,22 +103,22 @@
         # A dying process may accept just before its listener closes.
         await asyncio.sleep(PROBE_SETTLE_S)
         is_alive = connection.is_usable
-        self._connections.give_back(address, connection)
+        self._connections.put_back(address, connection)
         return is_alive
 
     async def _exchange(
         self, call: Call, endpoint: Endpoint, extra: Mapping[str, str] | None
-    ) -> Exchanged:
+    ) -> ExchangeResult:
         address = _address_of(endpoint)
         is_repeatable = call.match.idempotent and call.stream is None
-        connection = self._connections.take(address) if is_repeatable else None
+        connection = self._connections.take_idle(address) if is_repeatable else None
         if connection is None:
             return await self._exchange_fresh(call, address, extra)
         return await self._exchange_pooled(call, address, extra, connection)
 
     async def _exchange_fresh(
         self, call: Call, address: Address, extra: Mapping[str, str] | None
-    ) -> Exchanged:
+    ) -> ExchangeResult:
         service = call.match.service
         remaining_ms = call.remaining_ms(self._clock.monotonic_ms())
         timeout_ms = max(0.0, min(service.connect_timeout_ms, remaining_ms))
@@ -130,18 +130,18 @@
         connection: BackendConnection,
         call: Call,
         extra: Mapping[str, str] | None,
-    ) -> Exchanged:
+    ) -> ExchangeResult:
         sent_ms = self._clock.monotonic_ms()
         budget = reduce_budget(call.budget, sent_ms - call.arrived_ms)
         body = call.body if call.stream is None else call.stream
         try:
             head = await connection.send(
-                call.method, request_head(call, budget, extra), body
+                call.method, build_request_head(call, budget, extra), body
             )
         except BaseException:
             connection.abort()
             raise
-        return Exchanged(head, connection, sent_ms)
+        return ExchangeResult(head, connection, sent_ms)
 
     async def _exchange_pooled(
         self,
@@ -149,18 +149,18 @@
         address: Address,
         extra: Mapping[str, str] | None,
         connection: BackendConnection,
-    ) -> Exchanged:
-        budget = self._hedges.setdefault(call.match.service.name, HedgeBudget())
-        budget.request()
+    ) -> ExchangeResult:
+        budget = self._hedge_budgets.setdefault(call.match.service.name, HedgeBudget())
+        budget.earn()
 
         def may_hedge() -> bool:
             # Once an address proved silent, its older connections cost nothing.
-            proven_ms = self._connections.valid_from_ms(address)
-            return connection.opened_ms < proven_ms or budget.take()
+            valid_from_ms = self._connections.valid_from_ms(address)
+            return connection.opened_ms < valid_from_ms or budget.spend()
 
         hedge = Hedge(
             connection,
-            self._times_of(call).bound_ms(),
+            self._first_byte_times(call).hedge_delay_ms(),
             may_hedge,
             lambda: self._exchange_fresh(call, address, extra),
         )
@@ -176,26 +176,26 @@
             await hedge.end()
 
     def _retire(
-        self, address: Address, silent: BackendConnection, proof: Exchanged
+        self, address: Address, unresponsive: BackendConnection, working: ExchangeResult
     ) -> None:
-        opened_ms = proof.connection.opened_ms
-        is_news = silent.opened_ms >= self._connections.valid_from_ms(address)
+        opened_ms = working.connection.opened_ms
+        is_first = unresponsive.opened_ms >= self._connections.valid_from_ms(address)
         retired = self._connections.retire(address, opened_ms)
-        if is_news:
+        if is_first:
             events.emit(
                 events.CONNECTIONS_RETIRED, address=str(address), retired=retired
             )
 
-    def _times_of(self, call: Call) -> FirstByteTimes:
-        return self._times.setdefault(call.match.route.name, FirstByteTimes())
+    def _first_byte_times(self, call: Call) -> FirstByteTimes:
+        return self._times_by_route.setdefault(call.match.route.name, FirstByteTimes())
 
-    def _answered(
-        self, call: Call, endpoint: Endpoint, exchanged: Exchanged
+    def _make_attempt(
+        self, call: Call, endpoint: Endpoint, exchanged: ExchangeResult
     ) -> Attempt:
         head = exchanged.head
         now_ms = self._clock.monotonic_ms()
         latency_ms = now_ms - exchanged.sent_ms
-        self._times_of(call).add(latency_ms)
+        self._first_byte_times(call).add(latency_ms)
         answer = BackendAnswer(
             head,
             exchanged.connection,
@@ -212,7 +212,7 @@
             exchanged.sent_ms,
         )
 
-    def _failed(self, kind: OutcomeKind, started_ms: float) -> Attempt:
+    def _make_failed_attempt(self, kind: OutcomeKind, started_ms: float) -> Attempt:
         return Attempt(kind, self._clock.monotonic_ms() - started_ms)
 
 
--- a/azurestep/traffic/backend_answer.py
+++ b/azurestep/traffic/backend_answer.py
@@ -14,7 +14,7 @@
 CONTENT_RANGE_UNIT = "bytes "
 
 
-class BodyCutError(Exception):
+class BodyTruncatedError(Exception):
     """The body ended before its declared end."""
 
 
@@ -95,7 +95,7 @@
 
         Raises
         ------
-        BodyCutError
+        BodyTruncatedError
             If it ends too soon.
         """
         if not self.has_body:
@@ -106,9 +106,9 @@
             else:
                 body = await self.head.payload.read()
         except (aiohttp.ClientError, OSError) as error:
-            raise BodyCutError from error
+            raise BodyTruncatedError from error
         if not is_whole(self.length, len(body), ended_cleanly=True):
-            raise BodyCutError
+            raise BodyTruncatedError
         return body
 
     async def read_up_to(self, maximum_bytes: int) -> bytes | None:
@@ -116,7 +116,7 @@
 
         Raises
         ------
-        BodyCutError
+        BodyTruncatedError
             If it ends too soon.
         """
         body = bytearray()
@@ -125,7 +125,7 @@
             if len(body) > maximum_bytes:
                 return None
         if not is_whole(self.length, len(body), ended_cleanly=True):
-            raise BodyCutError
+            raise BodyTruncatedError
         return bytes(body)
 
     async def read_some(self) -> bytes:
@@ -133,13 +133,13 @@
 
         Raises
         ------
-        BodyCutError
+        BodyTruncatedError
             If the body ends too soon.
         """
         try:
             return await self.head.payload.readany()
         except (aiohttp.ClientError, OSError) as error:
-            raise BodyCutError from error
+            raise BodyTruncatedError from error
 
     def content_range(self) -> ContentRange | None:
         """Return the ``Content-Range`` of a partial answer, None if unusable."""
@@ -158,7 +158,7 @@
             return
         self._is_released = True
         if self.head.payload.is_eof():
-            self.connections.give_back(self.address, self.connection)
+            self.connections.put_back(self.address, self.connection)
         else:
             self.connection.abort()
 
--- a/azurestep/traffic/call.py
+++ b/azurestep/traffic/call.py
@@ -16,8 +16,8 @@
 from . import headers
 from .table import Match, RoutingTable
 
-BODY_KEPT_MAXIMUM_BYTES = 1024 * 1024
-DEFAULT_PORT_SEPARATOR = ":"
+MAX_BUFFERED_BODY_BYTES = 1024 * 1024
+PORT_SEPARATOR = ":"
 
 
 @attrs.define
@@ -92,25 +92,25 @@
         return self.deadline_ms - now_ms
 
 
-def host_of(request: web.BaseRequest) -> str:
+def read_host(request: web.BaseRequest) -> str:
     """Return the host that the caller asked for, without the port."""
-    return (request.host or "").partition(DEFAULT_PORT_SEPARATOR)[0]
+    return (request.host or "").partition(PORT_SEPARATOR)[0]
 
 
-def budget_of(request: web.BaseRequest, match: Match) -> DeadlineBudget:
+def read_budget(request: web.BaseRequest, match: Match) -> DeadlineBudget:
     """Return the time and depth of a request at its arrival."""
-    remaining_ms = _number(request.headers.get(headers.DEADLINE_MS))
-    depth = _number(request.headers.get(headers.DEPTH))
+    remaining_ms = _parse_number(request.headers.get(headers.DEADLINE_MS))
+    depth = _parse_number(request.headers.get(headers.DEPTH))
     return limit_budget(remaining_ms, int(depth or 0), match.timeout_ms)
 
 
 def is_resend(request: web.BaseRequest) -> bool:
     """Tell whether the caller says that it sent the request before."""
-    attempt = _number(request.headers.get(headers.ATTEMPT))
+    attempt = _parse_number(request.headers.get(headers.ATTEMPT))
     return attempt is not None and attempt > 1
 
 
-def target_of(request: web.BaseRequest) -> str:
+def read_target(request: web.BaseRequest) -> str:
     """Return path and query as the caller wrote them, in origin form."""
     target = request.raw_path
     if target.startswith("/") or target == "*":
@@ -118,7 +118,7 @@
     return request.rel_url.raw_path_qs
 
 
-def _number(text: str | None) -> float | None:
+def _parse_number(text: str | None) -> float | None:
     if text is None:
         return None
     try:
--- a/azurestep/traffic/caller_answer.py
+++ b/azurestep/traffic/caller_answer.py
@@ -25,7 +25,7 @@
             self.on_written = None
 
 
-class UndelimitedAnswer(web.StreamResponse):
+class CloseDelimitedAnswer(web.StreamResponse):
     """An answer whose body ends with the connection.
 
     Such an end can't be told from a cut, so it isn't passed on as a marked end.
@@ -34,14 +34,14 @@
     _length_check = False
 
 
-def stream_answer(answer: BackendAnswer, is_final: bool) -> web.StreamResponse:
+def make_streamed_answer(answer: BackendAnswer, is_final: bool) -> web.StreamResponse:
     """Return the head of an answer whose body is passed on as it comes."""
-    fields = passed_on(answer.headers)
+    fields = end_to_end_headers(answer.headers)
     if is_final:
         fields[headers.RETRIED] = headers.RETRIED_FINAL
     if answer.ends_with_connection:
         fields["Connection"] = "close"
-        response: web.StreamResponse = UndelimitedAnswer(
+        response: web.StreamResponse = CloseDelimitedAnswer(
             status=answer.status, reason=answer.reason, headers=fields
         )
         response.force_close()
@@ -54,10 +54,12 @@
     return response
 
 
-def whole_answer(answer: BackendAnswer, body: bytes, is_final: bool) -> WholeAnswer:
+def make_whole_answer(
+    answer: BackendAnswer, body: bytes, is_final: bool
+) -> WholeAnswer:
     """Return an answer with its whole body."""
     dropped = ("content-length",) if answer.has_body else ()
-    fields = passed_on(answer.headers, dropped)
+    fields = end_to_end_headers(answer.headers, dropped)
     if is_final:
         fields[headers.RETRIED] = headers.RETRIED_FINAL
     return WholeAnswer(
@@ -65,7 +67,7 @@
     )
 
 
-def passed_on(
+def end_to_end_headers(
     fields: "CIMultiDictProxy[str] | CIMultiDict[str]", dropped: Iterable[str] = ()
 ) -> "CIMultiDict[str]":
     """Return the headers that are not the connection's own."""
--- a/azurestep/traffic/connection_pool.py
+++ b/azurestep/traffic/connection_pool.py
@@ -10,10 +10,10 @@
 from ..settings import Address
 from .connection import BackendConnection
 
-IDLE_MAXIMUM_MS = 5000.0
+MAX_IDLE_MS = 5000.0
 # A backend server takes about 130 connections, and many nodes share them.
-IDLE_PER_ADDRESS = 4
-UNACKNOWLEDGED_MAXIMUM_MS = 5000
+MAX_IDLE_PER_ADDRESS = 4
+MAX_UNACKNOWLEDGED_MS = 5000
 MS_PER_S = 1000
 
 
@@ -50,7 +50,7 @@
             pool = self._pools[address] = AddressPool()
         return pool
 
-    def take(self, address: Address) -> BackendConnection | None:
+    def take_idle(self, address: Address) -> BackendConnection | None:
         """Return an idle connection, the one used last; None if there is none."""
         idle = self._pool(address).idle
         while idle:
@@ -82,7 +82,7 @@
         limit_unacknowledged(transport)
         return connection
 
-    def give_back(self, address: Address, connection: BackendConnection) -> None:
+    def put_back(self, address: Address, connection: BackendConnection) -> None:
         """Keep a connection whose answer is read for the next request."""
         pool = self._pool(address)
         is_valid = connection.opened_ms >= pool.valid_from_ms
@@ -91,7 +91,7 @@
             return
         connection.used_ms = self._clock.monotonic_ms()
         pool.idle.append(connection)
-        if len(pool.idle) > IDLE_PER_ADDRESS:
+        if len(pool.idle) > MAX_IDLE_PER_ADDRESS:
             pool.idle.pop(0).close()
 
     def retire(self, address: Address, before_ms: float) -> int:
@@ -110,7 +110,7 @@
 
     def close_idle(self) -> None:
         """Close connections that were idle for long."""
-        oldest_ms = self._clock.monotonic_ms() - IDLE_MAXIMUM_MS
+        oldest_ms = self._clock.monotonic_ms() - MAX_IDLE_MS
         for address, pool in list(self._pools.items()):
             idle = pool.idle
             pool.idle = [c for c in idle if c.used_ms >= oldest_ms and c.is_usable]
@@ -135,5 +135,5 @@
         return
     with contextlib.suppress(OSError, AttributeError):
         sock.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MAXIMUM_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS
         )
--- a/azurestep/traffic/directory.py
+++ b/azurestep/traffic/directory.py
@@ -84,8 +84,10 @@
         self._placed[key] = placed
         services = {item.server.service for item in (*before, *placed)}
         for service in services:
-            own = tuple(item for item in placed if item.server.service == service)
-            self._by_service.setdefault(service, {})[key] = own
+            of_service = tuple(
+                item for item in placed if item.server.service == service
+            )
+            self._by_service.setdefault(service, {})[key] = of_service
         self._stale |= services
 
     def build(self, now_ms: float) -> Directory:
@@ -97,7 +99,7 @@
             endpoints[service] = tuple(
                 self._endpoint_of(placed, now_ms) for placed in self.servers(service)
             )
-            self._forget_gone(service, endpoints[service])
+            self._remove_departed(service, endpoints[service])
         self._endpoints = endpoints
         self._has_started = self._has_started or bool(endpoints)
         return Directory(endpoints, changed)
@@ -110,7 +112,7 @@
     def _endpoint_of(self, placed: PlacedServer, now_ms: float) -> Endpoint:
         server = placed.server
         key = endpoint_key(server)
-        since_ms = self._first_seen_ms.setdefault(key, self._announced_ms(now_ms))
+        first_seen_ms = self._first_seen_ms.setdefault(key, self._announced_ms(now_ms))
         is_leaving = server.status == ServerStatus.LEAVING
         return Endpoint(
             key,
@@ -118,14 +120,14 @@
             placed.instance,
             placed.data_centre,
             server.slots,
-            since_ms,
+            first_seen_ms,
             is_leaving,
         )
 
-    def _forget_gone(self, service: str, present: tuple[Endpoint, ...]) -> None:
-        kept = {endpoint.key for endpoint in present}
+    def _remove_departed(self, service: str, current: tuple[Endpoint, ...]) -> None:
+        current_keys = {endpoint.key for endpoint in current}
         for endpoint in self._endpoints.get(service, ()):
-            if endpoint.key not in kept:
+            if endpoint.key not in current_keys:
                 self._first_seen_ms.pop(endpoint.key, None)
 
     def _announced_ms(self, now_ms: float) -> float:
--- a/azurestep/traffic/forward.py
+++ b/azurestep/traffic/forward.py
@@ -24,23 +24,23 @@
     decide_retry,
 )
 from ..environment import Clock
-from .answers import CallOutcome, Refusal, not_run, refusal_of
+from .answers import CallOutcome, Refusal, make_refusal, not_run
 from .attempt import NOT_RUN_KINDS, Attempt, AttemptSender
-from .backend_answer import BackendAnswer, BodyCutError
+from .backend_answer import BackendAnswer, BodyTruncatedError
 from .call import Call
 from .latency import AddedLatency
 from .pool import ServicePool
 from .relay import Relay, RelayEnd
 
 RETRYABLE_STATUSES = frozenset({500, 502, 503, 504})
-ENDED_KINDS = {
-    RelayEnd.CUT: OutcomeKind.RESET,
-    RelayEnd.CALLER_GONE: OutcomeKind.CANCELLED,
+OUTCOME_BY_RELAY_END = {
+    RelayEnd.TRUNCATED: OutcomeKind.RESET,
+    RelayEnd.CALLER_DISCONNECTED: OutcomeKind.CANCELLED,
 }
 
 
 @attrs.define
-class Sent:
+class SentAttempt:
     """An attempt that was sent, with its ticket."""
 
     pool: ServicePool
@@ -73,9 +73,9 @@
         self, pool: ServicePool, request: web.BaseRequest | None, call: Call
     ) -> web.StreamResponse | Refusal:
         """Return the answer or the reason for which there is none."""
-        refusal = self.check(pool, call)
+        refusal = self.find_refusal(pool, call)
         while refusal is None:
-            sent = await self.attempt(pool, call)
+            sent = await self.send_attempt(pool, call)
             if isinstance(sent, Refusal):
                 return sent
             decision = self._decide(call, sent)
@@ -86,18 +86,18 @@
                 decision = self._decide(call, sent)
             self.finish(sent, sent.attempt.kind)
             if decision is not None and not isinstance(decision, Retry):
-                refusal = refusal_of(decision, sent.attempt)
+                refusal = make_refusal(decision, sent.attempt)
         return refusal
 
-    def check(self, pool: ServicePool, call: Call) -> Refusal | None:
+    def find_refusal(self, pool: ServicePool, call: Call) -> Refusal | None:
         """Return the refusal of a resend over budget or of a quarantined call."""
         now_ms = self._clock.monotonic_ms()
-        if call.is_resend and not pool.budget.spend(now_ms):
-            budget = RefusalReason.RETRY_BUDGET
-            wait_ms = pool.admission.retry_after_ms(budget, now_ms)
-            return not_run(503, budget.value, wait_ms)
+        if call.is_resend and not pool.retry_budget.spend(now_ms):
+            refusal_reason = RefusalReason.RETRY_BUDGET
+            wait_ms = pool.admission.retry_after_ms(refusal_reason, now_ms)
+            return not_run(503, refusal_reason.value, wait_ms)
         if not call.is_resend:
-            pool.budget.earn()
+            pool.retry_budget.earn()
         if not pool.quarantine.active:
             return None
         standing = pool.quarantine.status_of(call.fingerprint, now_ms)
@@ -112,7 +112,9 @@
         reason = RefusalReason.QUARANTINED.value
         return Refusal(503, CallOutcome.NOT_RUN, reason, None, is_final=True)
 
-    async def attempt(self, pool: ServicePool, call: Call) -> Sent | Refusal:
+    async def send_attempt(
+        self, pool: ServicePool, call: Call
+    ) -> SentAttempt | Refusal:
         """Send one attempt as soon as a backend server has a free slot."""
         now_ms = self._clock.monotonic_ms()
         avoid = tuple(call.tried)
@@ -125,7 +127,7 @@
             return not_run(503, decision.reason.value, decision.retry_after_ms)
         call.waited_ms += self._clock.monotonic_ms() - now_ms
         attempt = await self._send(pool, call, decision.ticket, decision.endpoint)
-        return Sent(pool, decision.ticket, decision.endpoint, attempt)
+        return SentAttempt(pool, decision.ticket, decision.endpoint, attempt)
 
     async def _send(
         self,
@@ -151,28 +153,28 @@
         if attempt.kind in NOT_RUN_KINDS:
             call.may_have_run = may_have_run
         try:
-            await self._learn(pool, call, endpoint, attempt)
+            await self._record_outcome(pool, call, endpoint, attempt)
         except asyncio.CancelledError:
-            self.finish(Sent(pool, ticket, endpoint, attempt), attempt.kind)
+            self.finish(SentAttempt(pool, ticket, endpoint, attempt), attempt.kind)
             raise
         return attempt
 
-    async def _learn(
+    async def _record_outcome(
         self, pool: ServicePool, call: Call, endpoint: Endpoint, attempt: Attempt
     ) -> None:
         now_ms = self._clock.monotonic_ms()
         if attempt.kind is OutcomeKind.RESET:
             probe = self._sender.probe
-            await pool.learn_of_loss(call.fingerprint, endpoint, probe, now_ms)
+            await pool.handle_lost_connection(call.fingerprint, endpoint, probe, now_ms)
         elif pool.quarantine.active:
             is_answered = attempt.response is not None
-            pool.note_end(call.fingerprint, endpoint.key, is_answered, now_ms)
+            pool.record_end(call.fingerprint, endpoint.key, is_answered, now_ms)
 
-    def _decide(self, call: Call, sent: Sent) -> Retry | GiveUp | None:
+    def _decide(self, call: Call, sent: SentAttempt) -> Retry | GiveUp | None:
         """Return what follows a failed attempt; None after a good answer."""
         attempt = sent.attempt
         kind = attempt.kind
-        if kind is OutcomeKind.SUCCESS or _is_own_error(attempt):
+        if kind is OutcomeKind.SUCCESS or _is_request_error(attempt):
             return None
         now_ms = self._clock.monotonic_ms()
         pool = sent.pool
@@ -188,12 +190,13 @@
             call.is_suspect,
         )
         rule = call.match.service.retry
-        decision = decide_retry(failed, rule, pool.budget, now_ms)
-        # Every lost connection was probed already, see ServicePool.learn_of_loss.
+        decision = decide_retry(failed, rule, pool.retry_budget, now_ms)
+        # Every lost connection was probed already, see
+        # ServicePool.handle_lost_connection.
         assert not isinstance(decision, ProbeFirst)
         return decision
 
-    def finish(self, sent: Sent, kind: OutcomeKind) -> None:
+    def finish(self, sent: SentAttempt, kind: OutcomeKind) -> None:
         """End an attempt: free its slot and its connection."""
         if sent.attempt.response is not None:
             sent.attempt.response.release()
@@ -204,33 +207,33 @@
         self,
         request: web.BaseRequest | None,
         call: Call,
-        sent: Sent,
+        sent: SentAttempt,
         is_final: bool,
     ) -> web.StreamResponse | None:
         response = sent.attempt.response
         assert response is not None
         current = sent
 
-        async def resume(wanted: Resume) -> BackendAnswer | None:
+        async def resume(requested: Resume) -> BackendAnswer | None:
             nonlocal current
             self.finish(current, OutcomeKind.RESET)
-            following = await self._resume(call, sent.pool, wanted)
-            if following is None:
+            resumed = await self._resume(call, sent.pool, requested)
+            if resumed is None:
                 return None
-            current = following
-            return following.attempt.response
+            current = resumed
+            return resumed.attempt.response
 
         relay = Relay(
             call,
             response,
             resume,
             self._clock.monotonic_ms,
-            self._timer(call, sent.attempt, response),
+            self._added_latency_recorder(call, sent.attempt, response),
             is_final,
         )
         try:
             answer = await relay.run(request)
-        except BodyCutError:
+        except BodyTruncatedError:
             sent.attempt.kind = OutcomeKind.RESET
             sent.attempt.response = None
             response.release()
@@ -239,17 +242,17 @@
         except BaseException:
             self.finish(current, OutcomeKind.CANCELLED)
             raise
-        kind = ENDED_KINDS.get(relay.end, current.attempt.kind)
+        kind = OUTCOME_BY_RELAY_END.get(relay.end, current.attempt.kind)
         # A whole answer is written in this same step of the loop, and what is
         # learned from the attempt can wait for that.
         asyncio.get_running_loop().call_soon(self.finish, current, kind)
         return answer
 
     async def _resume(
-        self, call: Call, pool: ServicePool, wanted: Resume
-    ) -> Sent | None:
+        self, call: Call, pool: ServicePool, requested: Resume
+    ) -> SentAttempt | None:
         now_ms = self._clock.monotonic_ms()
-        if not pool.budget.spend(now_ms):
+        if not pool.retry_budget.spend(now_ms):
             return None
         timeout_ms = call.match.timeout_ms
         # The body may take longer than its head was allowed to.
@@ -266,33 +269,33 @@
         if isinstance(decision, Refused):
             return None
         extra = {
-            "Range": f"bytes={wanted.range_start}-{wanted.range_end}",
-            "If-Range": wanted.if_range,
+            "Range": f"bytes={requested.range_start}-{requested.range_end}",
+            "If-Range": requested.if_range,
         }
         attempt = await self._send(
             pool, rest, decision.ticket, decision.endpoint, extra
         )
-        sent = Sent(pool, decision.ticket, decision.endpoint, attempt)
+        sent = SentAttempt(pool, decision.ticket, decision.endpoint, attempt)
         if attempt.response is None or attempt.kind is not OutcomeKind.SUCCESS:
             self.finish(sent, attempt.kind)
             return None
         return sent
 
-    def _timer(
+    def _added_latency_recorder(
         self, call: Call, attempt: Attempt, response: BackendAnswer
     ) -> Callable[[], None]:
         before_ms = attempt.sent_ms - call.arrived_ms - call.waited_ms
         is_first = len(call.tried) == 1
 
-        def note() -> None:
+        def record() -> None:
             if is_first:
                 after_ms = self._clock.monotonic_ms() - response.first_byte_ms
                 self._latency.add(before_ms + after_ms)
 
-        return note
+        return record
 
 
-def _is_own_error(attempt: Attempt) -> bool:
+def _is_request_error(attempt: Attempt) -> bool:
     """Tell whether an error is the request's own, alike at every server."""
     if attempt.kind is not OutcomeKind.ERROR or attempt.response is None:
         return False
--- a/azurestep/traffic/hedge.py
+++ b/azurestep/traffic/hedge.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class Exchanged:
+class ExchangeResult:
     """Head of an answer, and the connection and time of its request."""
 
     head: Head
@@ -34,9 +34,9 @@
 
     Parameters
     ----------
-    doubted : BackendConnection
+    pooled : BackendConnection
         The pooled connection.
-    bound_ms : float
+    delay_ms : float
         Time without a first byte after which it is doubted.
     may_hedge : callable
         Asks the budget; a denied hedge is asked for again after the bound.
@@ -46,23 +46,23 @@
 
     def __init__(
         self,
-        doubted: BackendConnection,
-        bound_ms: float,
+        pooled: BackendConnection,
+        delay_ms: float,
         may_hedge: Callable[[], bool],
-        exchange: Callable[[], Awaitable[Exchanged]],
+        exchange: Callable[[], Awaitable[ExchangeResult]],
     ) -> None:
-        self._result: Exchanged | None = None
-        self._doubted = doubted
-        self._bound_s = bound_ms / MS_PER_S
+        self._result: ExchangeResult | None = None
+        self._pooled = pooled
+        self._delay_s = delay_ms / MS_PER_S
         self._may_hedge = may_hedge
         self._exchange = exchange
         self._loop = asyncio.get_running_loop()
-        self._timer = self._loop.call_later(self._bound_s, self._begin)
+        self._timer = self._loop.call_later(self._delay_s, self._start)
         self._task: asyncio.Task[None] | None = None
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         if not self._may_hedge():
-            self._timer = self._loop.call_later(self._bound_s, self._begin)
+            self._timer = self._loop.call_later(self._delay_s, self._start)
             return
         self._task = self._loop.create_task(self._run())
 
@@ -71,9 +71,9 @@
             self._result = await self._exchange()
         except (ConnectFailedError, aiohttp.ClientError, HttpProcessingError, OSError):
             return
-        self._doubted.set_exception(SupersededError())
+        self._pooled.set_exception(SupersededError())
 
-    async def result_after_failure(self) -> Exchanged | None:
+    async def result_after_failure(self) -> ExchangeResult | None:
         """Return the new connection's answer once the pooled one has failed."""
         if self._task is not None:
             await self._task
--- a/azurestep/traffic/hedge_policy.py
+++ b/azurestep/traffic/hedge_policy.py
@@ -12,8 +12,8 @@
 DEVIATION_GAIN = 0.25
 DEVIATIONS = 4.0
 MIN_HEDGE_DELAY_MS = 100.0
-BOUND_INITIAL_MS = 250.0
-TOKENS_MAXIMUM = 10.0
+INITIAL_HEDGE_DELAY_MS = 250.0
+MAX_TOKENS = 10.0
 TOKENS_PER_REQUEST = 0.02
 
 
@@ -44,22 +44,22 @@
         self.deviation_ms += DEVIATION_GAIN * (distance_ms - self.deviation_ms)
         self.mean_ms += MEAN_GAIN * (latency_ms - self.mean_ms)
 
-    def bound_ms(self) -> float:
+    def hedge_delay_ms(self) -> float:
         """Return the time after which a pooled connection is doubted.
 
         Examples
         --------
         >>> times = FirstByteTimes()
-        >>> times.bound_ms()
+        >>> times.hedge_delay_ms()
         250.0
         >>> times.add(40.0)
-        >>> times.bound_ms()
+        >>> times.hedge_delay_ms()
         120.0
         """
         if self.is_empty:
-            return BOUND_INITIAL_MS
-        bound_ms = self.mean_ms + DEVIATIONS * self.deviation_ms
-        return max(MIN_HEDGE_DELAY_MS, bound_ms)
+            return INITIAL_HEDGE_DELAY_MS
+        hedge_delay_ms = self.mean_ms + DEVIATIONS * self.deviation_ms
+        return max(MIN_HEDGE_DELAY_MS, hedge_delay_ms)
 
 
 @attrs.define
@@ -72,13 +72,13 @@
         Hedges allowed now; each request adds a small share.
     """
 
-    tokens: float = TOKENS_MAXIMUM
+    tokens: float = MAX_TOKENS
 
-    def request(self) -> None:
+    def earn(self) -> None:
         """Add the share of one request."""
-        self.tokens = min(TOKENS_MAXIMUM, self.tokens + TOKENS_PER_REQUEST)
+        self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
-    def take(self) -> bool:
+    def spend(self) -> bool:
         """Take one hedge out of the bucket; return whether there was one."""
         if self.tokens < 1.0:
             return False
--- a/azurestep/traffic/latency.py
+++ b/azurestep/traffic/latency.py
@@ -3,10 +3,10 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US = 1
-HIGHEST_US = 60_000_000
-DIGITS = 2
-PENDING_MAXIMUM = 4096
+MIN_US = 1
+MAX_US = 60_000_000
+SIGNIFICANT_DIGITS = 2
+MAX_PENDING = 4096
 US_PER_MS = 1000
 
 
@@ -38,13 +38,13 @@
     """Histogram of the added time; filled in batches, off the request's path."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+        self._histogram = HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
         self._pending_ms: list[float] = []
 
     def add(self, added_ms: float) -> None:
         """Note the added time of one request."""
         self._pending_ms.append(added_ms)
-        if len(self._pending_ms) >= PENDING_MAXIMUM:
+        if len(self._pending_ms) >= MAX_PENDING:
             self.flush()
 
     def flush(self) -> None:
@@ -52,23 +52,23 @@
         pending = self._pending_ms
         self._pending_ms = []
         for added_ms in pending:
-            value = max(LOWEST_US, int(added_ms * US_PER_MS))
-            self._histogram.record_value(min(value, HIGHEST_US))
+            value = max(MIN_US, int(added_ms * US_PER_MS))
+            self._histogram.record_value(min(value, MAX_US))
 
     def summary(self) -> LatencySummary:
         """Return the distribution so far."""
         self.flush()
         histogram = self._histogram
 
-        def at(percentile: float) -> float:
+        def percentile_ms(percentile: float) -> float:
             return histogram.get_value_at_percentile(percentile) / US_PER_MS
 
         return LatencySummary(
             histogram.get_total_count(),
             histogram.get_mean_value() / US_PER_MS,
-            at(50.0),
-            at(90.0),
-            at(99.0),
-            at(99.9),
+            percentile_ms(50.0),
+            percentile_ms(90.0),
+            percentile_ms(99.0),
+            percentile_ms(99.9),
             histogram.get_max_value() / US_PER_MS,
         )
--- a/azurestep/traffic/once_answers.py
+++ b/azurestep/traffic/once_answers.py
@@ -29,7 +29,7 @@
     if answer.replayed:
         fields[headers.REPLAYED] = "1"
     if answer.outcome is Outcome.RAN and answer.answer is not None:
-        return _kept(answer.answer, fields)
+        return _make_kept_answer(answer.answer, fields)
     fields[headers.REASON] = answer.reason.value
     if answer.outcome is Outcome.NOT_RUN:
         fields[headers.NOT_RUN] = "1"
@@ -55,7 +55,7 @@
     )
 
 
-def _kept(kept: KeptAnswer, fields: "CIMultiDict[str]") -> web.Response:
+def _make_kept_answer(kept: KeptAnswer, fields: "CIMultiDict[str]") -> web.Response:
     if kept.trimmed:
         fields[headers.TRIMMED] = "1"
     for header in kept.headers:
--- a/azurestep/traffic/pool.py
+++ b/azurestep/traffic/pool.py
@@ -26,7 +26,7 @@
 )
 from ..config.model import ClassShares, Service
 
-DEATHS_REMEMBERED = 256
+MAX_DEAD_SERVERS = 256
 
 Probe = Callable[[Endpoint, float], Awaitable[bool]]
 
@@ -78,7 +78,7 @@
         on_report: QuarantineListener,
     ) -> None:
         self.admission = Admission(service, shares, data_centre, instance, source)
-        self.budget = RetryBudget(service.retry.budget_ratio)
+        self.retry_budget = RetryBudget(service.retry.budget_ratio)
         self.quarantine = Quarantine()
         self.endpoints: tuple[Endpoint, ...] = ()
         self._service = service
@@ -89,25 +89,25 @@
     def configure(self, service: Service, shares: ClassShares, now_ms: float) -> None:
         """Take over the rules of another version or preset."""
         self._service = service
-        self.budget.ratio = service.retry.budget_ratio
-        self.settle(self.admission.configure(service, shares, now_ms))
+        self.retry_budget.ratio = service.retry.budget_ratio
+        self.resolve_waiting(self.admission.configure(service, shares, now_ms))
 
     def replace_endpoints(self, endpoints: tuple[Endpoint, ...], now_ms: float) -> None:
         """Take over the present list of backend servers."""
-        self._note_replaced(endpoints, now_ms)
+        self._record_replaced(endpoints, now_ms)
         self.endpoints = endpoints
-        self.settle(self.admission.replace_endpoints(endpoints, now_ms))
+        self.resolve_waiting(self.admission.replace_endpoints(endpoints, now_ms))
 
-    def _note_replaced(self, endpoints: tuple[Endpoint, ...], now_ms: float) -> None:
+    def _record_replaced(self, endpoints: tuple[Endpoint, ...], now_ms: float) -> None:
         """Count those as dead whose address another run has taken over."""
-        places = {(e.key.host, e.key.port): e.key for e in endpoints}
-        for former in self.endpoints:
-            key = former.key
-            present = places.get((key.host, key.port), key)
-            if present != key and not former.leaving:
-                self._note_death(key, now_ms)
-
-    async def learn_of_loss(
+        keys_by_address = {(e.key.host, e.key.port): e.key for e in endpoints}
+        for previous in self.endpoints:
+            key = previous.key
+            current = keys_by_address.get((key.host, key.port), key)
+            if current != key and not previous.leaving:
+                self._record_death(key, now_ms)
+
+    async def handle_lost_connection(
         self, fingerprint: int, endpoint: Endpoint, probe: Probe, now_ms: float
     ) -> None:
         """Find out whether a backend server died as its connection was lost."""
@@ -118,11 +118,11 @@
         if await probe(endpoint, self._service.connect_timeout_ms):
             self.quarantine.record_alive(key)
         else:
-            self._note_death(key, now_ms)
+            self._record_death(key, now_ms)
 
-    def _note_death(self, key: EndpointKey, now_ms: float) -> None:
+    def _record_death(self, key: EndpointKey, now_ms: float) -> None:
         self._dead[key] = None
-        if len(self._dead) > DEATHS_REMEMBERED:
+        if len(self._dead) > MAX_DEAD_SERVERS:
             del self._dead[next(iter(self._dead))]
         updates = self.quarantine.record_death(key, now_ms, len(self.endpoints))
         if updates:
@@ -132,7 +132,7 @@
         """Return whether a backend server whose connection was lost is dead."""
         return key in self._dead
 
-    def note_end(
+    def record_end(
         self, fingerprint: int, key: EndpointKey, is_answered: bool, now_ms: float
     ) -> None:
         """Tell the quarantine how an attempt ended."""
@@ -155,13 +155,13 @@
             release = await future
         except asyncio.CancelledError:
             self._waiting.pop(ticket, None)
-            self._abandon(ticket, future, request.now_ms)
+            self._cancel(ticket, future, request.now_ms)
             raise
         if isinstance(release, Granted):
             return Admitted(ticket, release.endpoint)
         return Refused(release.reason, release.retry_after_ms)
 
-    def _abandon(
+    def _cancel(
         self,
         ticket: Ticket,
         future: "asyncio.Future[Granted | Dropped]",
@@ -170,20 +170,20 @@
         was_granted = future.done() and not future.cancelled()
         if was_granted and isinstance(future.result(), Granted):
             outcome = Outcome(OutcomeKind.CANCELLED, 0.0)
-            self.settle(self.admission.finish(ticket, outcome, now_ms))
+            self.resolve_waiting(self.admission.finish(ticket, outcome, now_ms))
         else:
-            self.settle(self.admission.cancel(ticket, now_ms))
+            self.resolve_waiting(self.admission.cancel(ticket, now_ms))
 
     def finish(self, ticket: Ticket, outcome: Outcome, now_ms: float) -> None:
         """End an attempt and wake who can go on."""
-        self.settle(self.admission.finish(ticket, outcome, now_ms))
+        self.resolve_waiting(self.admission.finish(ticket, outcome, now_ms))
 
     def tick(self, now_ms: float) -> None:
         """Drop waiting requests whose time is over."""
         if self._waiting:
-            self.settle(self.admission.tick(now_ms))
+            self.resolve_waiting(self.admission.tick(now_ms))
 
-    def settle(self, releases: list[Release]) -> None:
+    def resolve_waiting(self, releases: list[Release]) -> None:
         """Hand releases to the tasks that wait for them."""
         for release in releases:
             future = self._waiting.pop(release.ticket, None)
--- a/azurestep/traffic/proxy.py
+++ b/azurestep/traffic/proxy.py
@@ -13,27 +13,27 @@
 from ..balancing import LoadReport
 from ..environment import Clock
 from ..settings import Settings
-from .answers import Refusal, answer_of, not_run
+from .answers import Refusal, make_answer, not_run
 from .attempt import AttemptSender
 from .call import (
     Call,
-    budget_of,
-    host_of,
     is_resend,
-    target_of,
+    read_budget,
+    read_host,
+    read_target,
 )
 from .caller_connection import has_pipelined_request
 from .directory import Directory
 from .forward import Forwarder
 from .latency import AddedLatency, LatencySummary
 from .pool import QuarantineListener, QuarantineReport, ServicePool
-from .request_body import keep_body
+from .request_body import buffer_body
 from .single_run import RunFailed, RunResult, run_single
 from .table import RoutingTable
-from .under_way import STOPPING, Passage, UnderWay
+from .under_way import STOPPING, InFlightRequest, InFlightRequests
 
 STARTING_RETRY_AFTER_MS = 500.0
-STARTING_WAIT_S = 2.0
+MAX_STARTING_WAIT_S = 2.0
 MS_PER_S = 1000
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 OnceHandler = Callable[[Call], Awaitable[web.Response]]
@@ -58,7 +58,7 @@
         clock: Clock,
         source: random.Random,
     ) -> None:
-        self.on_quarantine_report: QuarantineListener = _ignore
+        self.on_quarantine_report: QuarantineListener = _ignore_report
         self._settings = settings
         self._clock = clock
         self._random = source
@@ -67,7 +67,7 @@
         self._table: RoutingTable | None = None
         self._directory = Directory()
         self._pools: dict[str, ServicePool] = {}
-        self._under_way = UnderWay()
+        self._in_flight_requests = InFlightRequests()
         self._is_draining = False
         self._is_closed = False
         self.ready = asyncio.Event()
@@ -76,7 +76,7 @@
     @property
     def in_flight(self) -> int:
         """Requests that have no whole answer yet, also those run for peers."""
-        return len(self._under_way)
+        return len(self._in_flight_requests)
 
     @property
     def table(self) -> RoutingTable | None:
@@ -109,7 +109,7 @@
     def end_requests(self) -> int:
         """Bring all requests to a final answer; return how many there were."""
         self.close()
-        return self._under_way.end_requests()
+        return self._in_flight_requests.end_requests()
 
     def swap_table(self, table: RoutingTable) -> None:
         """Put a whole new table in force by one assignment."""
@@ -166,8 +166,8 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
-        result = STOPPING if self._is_closed else await self._serve_in_time(request)
-        response = answer_of(result) if isinstance(result, Refusal) else result
+        result = STOPPING if self._is_closed else await self._serve_until_ended(request)
+        response = make_answer(result) if isinstance(result, Refusal) else result
         if (
             self._is_draining
             and not response.prepared
@@ -176,77 +176,77 @@
             response.force_close()
         return response
 
-    async def _serve_in_time(
+    async def _serve_until_ended(
         self, request: web.BaseRequest
     ) -> web.StreamResponse | Refusal:
-        passage = Passage()
+        entry = InFlightRequest()
         try:
-            async with passage.limit:
-                self._under_way.add(passage)
-                return await self._serve(request, passage)
+            async with entry.timeout:
+                self._in_flight_requests.add(entry)
+                return await self._serve(request, entry)
         except TimeoutError:
-            if not passage.limit.expired():
+            if not entry.timeout.expired():
                 raise
-            return passage.last_answer()
+            return entry.final_refusal()
         finally:
-            self._under_way.remove(passage)
+            self._in_flight_requests.remove(entry)
 
     async def _wait_until_ready(self) -> None:
         try:
-            await asyncio.wait_for(self.ready.wait(), STARTING_WAIT_S)
+            await asyncio.wait_for(self.ready.wait(), MAX_STARTING_WAIT_S)
         except TimeoutError:
             return
 
     async def _serve(
-        self, request: web.BaseRequest, passage: Passage
+        self, request: web.BaseRequest, entry: InFlightRequest
     ) -> web.StreamResponse | Refusal:
         if not self.ready.is_set():
             await self._wait_until_ready()
-        call = self._match(request)
+        call = self._match_route(request)
         if isinstance(call, Refusal):
             return call
-        passage.call = call
+        entry.call = call
         refusal = await self._read_body(request, call)
         if refusal is not None:
             return refusal
         if not call.match.idempotent and self.once_handler is not None:
-            passage.is_at_owner = True
+            entry.is_at_owner = True
             return await self.once_handler(call)
         return await self.run(request, call)
 
     async def run_single(self, call: Call) -> RunResult:
         """Run a request that must not repeat, once."""
         pool = self._pools[call.match.service.name]
-        passage = Passage(call=call, is_run=True)
+        entry = InFlightRequest(call=call, is_owner_run=True)
         try:
-            async with passage.limit:
-                self._under_way.add(passage)
+            async with entry.timeout:
+                self._in_flight_requests.add(entry)
                 return await run_single(pool, self._forwarder, call, self._clock)
         except TimeoutError:
-            if not passage.limit.expired():
+            if not entry.timeout.expired():
                 raise
-            return RunFailed(bytes_sent=passage.may_have_run)
+            return RunFailed(bytes_sent=entry.may_have_run)
         finally:
-            self._under_way.remove(passage)
+            self._in_flight_requests.remove(entry)
 
-    def _match(self, request: web.BaseRequest) -> Call | Refusal:
+    def _match_route(self, request: web.BaseRequest) -> Call | Refusal:
         arrived_ms = self._clock.monotonic_ms()
         table = self._table
         if table is None:
             return not_run(503, "starting", STARTING_RETRY_AFTER_MS)
         match = table.match(
-            host_of(request), request.path, request.method, request.headers
+            read_host(request), request.path, request.method, request.headers
         )
         if match is None:
             return not_run(404, "no_route", None)
-        budget = budget_of(request, match)
+        budget = read_budget(request, match)
         if budget.expired:
             return not_run(504, "deadline", None)
         if budget.too_deep:
             return not_run(508, "too_deep", None)
         return Call(
             request.method,
-            target_of(request),
+            read_target(request),
             request.headers,
             table,
             match,
@@ -265,7 +265,7 @@
         remaining_ms = call.remaining_ms(started_ms)
         try:
             async with asyncio.timeout(max(0.0, remaining_ms) / MS_PER_S):
-                refusal = await keep_body(request, call)
+                refusal = await buffer_body(request, call)
         except TimeoutError:
             return not_run(408, "body_too_slow", None)
         call.waited_ms += self._clock.monotonic_ms() - started_ms
@@ -288,5 +288,5 @@
         return await self._forwarder.run(pool, request, call)
 
 
-def _ignore(report: QuarantineReport) -> None:
+def _ignore_report(report: QuarantineReport) -> None:
     return
--- a/azurestep/traffic/relay.py
+++ b/azurestep/traffic/relay.py
@@ -15,30 +15,30 @@
     is_continuation,
     is_whole,
 )
-from .backend_answer import BackendAnswer, BodyCutError
+from .backend_answer import BackendAnswer, BodyTruncatedError
 from .call import Call
-from .caller_answer import WrittenCallback, stream_answer, whole_answer
+from .caller_answer import WrittenCallback, make_streamed_answer, make_whole_answer
 from .caller_connection import has_pipelined_request
 
-SMALL_BODY_BYTES = 64 * 1024
-STALL_RESUMABLE_S = 2.0
-STALL_S = 60.0
-CALLER_STALL_S = 30.0
+MAX_SMALL_BODY_BYTES = 64 * 1024
+RESUMABLE_STALL_TIMEOUT_S = 2.0
+BODY_STALL_TIMEOUT_S = 60.0
+CALLER_STALL_TIMEOUT_S = 30.0
 PARTIAL_CONTENT = 206
 MS_PER_S = 1000
 
-NextAnswer = Callable[[Resume], Awaitable[BackendAnswer | None]]
+ResumeCallback = Callable[[Resume], Awaitable[BackendAnswer | None]]
 
 
 class RelayEnd(StrEnum):
     """How a relay ended."""
 
     WHOLE = "whole"
-    CUT = "cut"
-    CALLER_GONE = "caller_gone"
+    TRUNCATED = "truncated"
+    CALLER_DISCONNECTED = "caller_disconnected"
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller's connection is lost or takes no bytes."""
 
 
@@ -70,7 +70,7 @@
 
     call: Call
     answer: BackendAnswer
-    resume: NextAnswer
+    resume: ResumeCallback
     now_ms: Callable[[], float]
     on_written: WrittenCallback
     is_final: bool = False
@@ -88,14 +88,16 @@
 
         Raises
         ------
-        BodyCutError
+        BodyTruncatedError
             If the body was cut before any byte reached the caller.
         """
         answer = self.answer
         length = answer.length
-        is_small = length is not None and length <= SMALL_BODY_BYTES
+        is_small = length is not None and length <= MAX_SMALL_BODY_BYTES
         if is_small or answer.is_received or request is None:
-            response = whole_answer(answer, await self._read_whole(), self.is_final)
+            response = make_whole_answer(
+                answer, await self._read_whole(), self.is_final
+            )
             response.on_written = self.on_written
             return response
         return await self._relay_stream(request)
@@ -108,27 +110,27 @@
             async with asyncio.timeout(max(0.0, remaining_ms) / MS_PER_S):
                 return await self.answer.read()
         except TimeoutError as error:
-            raise BodyCutError from error
+            raise BodyTruncatedError from error
 
     async def _relay_stream(self, request: web.BaseRequest) -> web.StreamResponse:
-        response = stream_answer(self.answer, self.is_final)
+        response = make_streamed_answer(self.answer, self.is_final)
         if self.call.is_draining and not has_pipelined_request(request.protocol):
             response.force_close()
         await response.prepare(request)
         self.on_written()
         try:
             is_complete = await self._copy_all(response)
-        except CallerGoneError:
-            self.end = RelayEnd.CALLER_GONE
-            break_connection(request)
+        except CallerDisconnectedError:
+            self.end = RelayEnd.CALLER_DISCONNECTED
+            abort_connection(request)
             return response
         except asyncio.CancelledError:
             # A last answer written behind half a body would pass for its rest.
-            break_connection(request)
+            abort_connection(request)
             raise
         if not is_complete:
-            self.end = RelayEnd.CUT
-            break_connection(request)
+            self.end = RelayEnd.TRUNCATED
+            abort_connection(request)
             return response
         await response.write_eof()
         return response
@@ -139,13 +141,13 @@
             try:
                 await self._copy(response)
                 return True
-            except (BodyCutError, TimeoutError):
-                if not await self._continue():
+            except (BodyTruncatedError, TimeoutError):
+                if not await self._try_resume():
                     return False
 
     async def _copy(self, response: web.StreamResponse) -> None:
-        is_resumable = isinstance(decide_resumption(self._cut()), Resume)
-        stall_s = STALL_RESUMABLE_S if is_resumable else STALL_S
+        is_resumable = isinstance(decide_resumption(self._describe_truncated()), Resume)
+        stall_s = RESUMABLE_STALL_TIMEOUT_S if is_resumable else BODY_STALL_TIMEOUT_S
         while True:
             async with asyncio.timeout(stall_s):
                 chunk = await self.answer.read_some()
@@ -154,9 +156,9 @@
             await _write(response, chunk)
             self.delivered_bytes += len(chunk)
         if not is_whole(self.answer.length, self.delivered_bytes, ended_cleanly=True):
-            raise BodyCutError
+            raise BodyTruncatedError
 
-    def _cut(self) -> TruncatedAnswer:
+    def _describe_truncated(self) -> TruncatedAnswer:
         answer = self.answer
         span = answer.content_range()
         is_partial = answer.status == PARTIAL_CONTENT
@@ -173,14 +175,16 @@
             resumptions=self.resumptions,
         )
 
-    async def _continue(self) -> bool:
+    async def _try_resume(self) -> bool:
         """Replace a cut answer by one that continues it; return whether one did."""
-        wanted = decide_resumption(self._cut())
-        if not isinstance(wanted, Resume):
+        requested = decide_resumption(self._describe_truncated())
+        if not isinstance(requested, Resume):
             return False
         self.resumptions += 1
-        answer = await self.resume(wanted)
-        if answer is None or not is_continuation(wanted, _resumed(answer)):
+        answer = await self.resume(requested)
+        if answer is None or not is_continuation(
+            requested, _parse_resumed_answer(answer)
+        ):
             return False
         self.answer = answer
         self.delivered_bytes = 0
@@ -189,13 +193,13 @@
 
 async def _write(response: web.StreamResponse, chunk: bytes) -> None:
     try:
-        async with asyncio.timeout(CALLER_STALL_S):
+        async with asyncio.timeout(CALLER_STALL_TIMEOUT_S):
             await response.write(chunk)
     except (OSError, TimeoutError) as error:
-        raise CallerGoneError("the caller takes no bytes") from error
+        raise CallerDisconnectedError("the caller takes no bytes") from error
 
 
-def _resumed(answer: BackendAnswer) -> ResumedAnswer:
+def _parse_resumed_answer(answer: BackendAnswer) -> ResumedAnswer:
     span = answer.content_range()
     return ResumedAnswer(
         answer.status,
@@ -205,7 +209,7 @@
     )
 
 
-def break_connection(request: web.BaseRequest) -> None:
+def abort_connection(request: web.BaseRequest) -> None:
     """Break the connection, so that the caller sees that the body is cut."""
     if request.transport is not None:
         request.transport.abort()
--- a/azurestep/traffic/request_body.py
+++ b/azurestep/traffic/request_body.py
@@ -1,19 +1,19 @@
-"""Body of a caller's request: kept for retries, or streamed."""
+"""Body of a caller's request: buffered for retries, or streamed."""
 
 from collections.abc import AsyncIterator
 
 from aiohttp import web
 
 from .answers import Refusal, not_run
-from .call import BODY_KEPT_MAXIMUM_BYTES, Call
+from .call import MAX_BUFFERED_BODY_BYTES, Call
 
 
-async def keep_body(request: web.BaseRequest, call: Call) -> Refusal | None:
+async def buffer_body(request: web.BaseRequest, call: Call) -> Refusal | None:
     """Keep the body for retries; one over the bound is streamed, or refused."""
     body = bytearray()
     while chunk := await request.content.readany():
         body += chunk
-        if len(body) <= BODY_KEPT_MAXIMUM_BYTES:
+        if len(body) <= MAX_BUFFERED_BODY_BYTES:
             continue
         if not call.match.idempotent:
             return not_run(413, "body_too_large", None)
@@ -23,7 +23,7 @@
     return None
 
 
-async def _stream(kept: bytes, request: web.BaseRequest) -> AsyncIterator[bytes]:
-    yield kept
+async def _stream(buffered: bytes, request: web.BaseRequest) -> AsyncIterator[bytes]:
+    yield buffered
     while chunk := await request.content.readany():
         yield chunk
--- a/azurestep/traffic/request_head.py
+++ b/azurestep/traffic/request_head.py
@@ -7,7 +7,7 @@
 from .call import Call
 
 CONNECTION = "Connection"
-REPLACED = headers.HOP_BY_HOP | {
+REPLACED_HEADERS = headers.HOP_BY_HOP | {
     "content-length",
     "expect",
     headers.DEADLINE_MS.lower(),
@@ -16,7 +16,7 @@
 }
 
 
-def request_head(
+def build_request_head(
     call: Call, budget: DeadlineBudget, extra: Mapping[str, str] | None = None
 ) -> bytes:
     """Return the request line and headers, the empty line included.
@@ -30,7 +30,7 @@
     extra : mapping of str to str, optional
         Headers that replace those of the caller.
     """
-    skipped = REPLACED
+    skipped = REPLACED_HEADERS
     if CONNECTION in call.fields:
         skipped = skipped | connection_options(call.fields.getall(CONNECTION))
     if extra:
--- a/azurestep/traffic/single_run.py
+++ b/azurestep/traffic/single_run.py
@@ -9,14 +9,14 @@
 from ..once.messages import Header, KeptAnswer
 from .answers import Refusal
 from .attempt import NOT_RUN_KINDS
-from .backend_answer import BackendAnswer, BodyCutError
+from .backend_answer import BackendAnswer, BodyTruncatedError
 from .call import Call
-from .caller_answer import passed_on
-from .forward import Forwarder, Sent
+from .caller_answer import end_to_end_headers
+from .forward import Forwarder, SentAttempt
 from .pool import ServicePool
 
 MS_PER_S = 1000
-ANSWER_MAXIMUM_BYTES = 4 * 1024 * 1024
+MAX_ANSWER_BYTES = 4 * 1024 * 1024
 
 
 @attrs.frozen
@@ -46,10 +46,10 @@
     pool: ServicePool, forwarder: Forwarder, call: Call, clock: Clock
 ) -> RunResult:
     """Run a call once; go to another backend server only if nothing ran."""
-    if forwarder.check(pool, call) is not None:
+    if forwarder.find_refusal(pool, call) is not None:
         return RunFailed(bytes_sent=False)
     for _ in range(call.match.service.retry.max_attempts):
-        sent = await forwarder.attempt(pool, call)
+        sent = await forwarder.send_attempt(pool, call)
         if isinstance(sent, Refusal):
             return RunFailed(bytes_sent=False)
         result = await _result_of(forwarder, sent, call, clock)
@@ -59,7 +59,7 @@
 
 
 async def _result_of(
-    forwarder: Forwarder, sent: Sent, call: Call, clock: Clock
+    forwarder: Forwarder, sent: SentAttempt, call: Call, clock: Clock
 ) -> RunResult | None:
     """Return the result, or None if the request did not run."""
     kind = OutcomeKind.CANCELLED
@@ -69,8 +69,8 @@
             kind = attempt.kind
             return None if kind in NOT_RUN_KINDS else RunFailed(bytes_sent=True)
         result = await _read_answer(attempt.response, call, clock)
-        is_cut = isinstance(result, RunFailed)
-        kind = OutcomeKind.RESET if is_cut else attempt.kind
+        is_truncated = isinstance(result, RunFailed)
+        kind = OutcomeKind.RESET if is_truncated else attempt.kind
         return result
     finally:
         forwarder.finish(sent, kind)
@@ -80,11 +80,11 @@
     remaining_s = max(0.0, call.remaining_ms(clock.monotonic_ms())) / MS_PER_S
     try:
         async with asyncio.timeout(remaining_s):
-            body = await response.read_up_to(ANSWER_MAXIMUM_BYTES)
-    except (BodyCutError, TimeoutError):
+            body = await response.read_up_to(MAX_ANSWER_BYTES)
+    except (BodyTruncatedError, TimeoutError):
         return RunFailed(bytes_sent=True)
     if body is None:
         return RunAnswered(KeptAnswer(response.status, trimmed=True))
-    fields = passed_on(response.headers, ("content-length",))
+    fields = end_to_end_headers(response.headers, ("content-length",))
     kept = tuple(Header(name, value) for name, value in fields.items())
     return RunAnswered(KeptAnswer(response.status, kept, body))
--- a/azurestep/traffic/table.py
+++ b/azurestep/traffic/table.py
@@ -80,8 +80,8 @@
         self._routes: dict[tuple[str, str], list[Route]] = {}
         for route in in_force.routes:
             if route.enabled:
-                place = (route.host, _trimmed(route.path_prefix))
-                self._routes.setdefault(place, []).append(route)
+                key = (route.host, _strip_slash(route.path_prefix))
+                self._routes.setdefault(key, []).append(route)
         for routes in self._routes.values():
             routes.sort(key=_specificity, reverse=True)
 
@@ -103,10 +103,10 @@
         An exact host goes before any host, then the longest prefix, then the
         route that asks for more headers and methods.
         """
-        for place in (host, ANY_HOST):
+        for key in (host, ANY_HOST):
             for prefix in _prefixes(path):
-                for route in self._routes.get((place, prefix), ()):
-                    if _fits(route, method, headers):
+                for route in self._routes.get((key, prefix), ()):
+                    if _matches(route, method, headers):
                         return self._match_of(route, method)
         return None
 
@@ -116,7 +116,7 @@
         return Match(route, service, timeout_ms, is_idempotent(route, method))
 
 
-def _trimmed(prefix: str) -> str:
+def _strip_slash(prefix: str) -> str:
     return prefix.rstrip("/")
 
 
@@ -139,11 +139,11 @@
     return (len(route.headers), bool(route.methods), route.name)
 
 
-def _fits(route: Route, method: str, headers: Mapping[str, str]) -> bool:
+def _matches(route: Route, method: str, headers: Mapping[str, str]) -> bool:
     if route.methods and method not in route.methods:
         return False
-    for wanted in route.headers:
-        value = headers.get(wanted.name)
-        if value is None or (wanted.value and value != wanted.value):
+    for required in route.headers:
+        value = headers.get(required.name)
+        if value is None or (required.value and value != required.value):
             return False
     return True
--- a/tests/test_balancing_whole_answers.py
+++ b/tests/test_balancing_whole_answers.py
@@ -16,7 +16,7 @@
     is_whole,
 )
 
-CUT = TruncatedAnswer(
+TRUNCATED = TruncatedAnswer(
     safe_get=True,
     declared_bytes=1000,
     delivered_bytes=400,
@@ -28,17 +28,17 @@
 
 
 def test_the_rest_is_requested():
-    assert decide_resumption(CUT) == WANTED
+    assert decide_resumption(TRUNCATED) == WANTED
 
 
 def test_a_partial_answer_resumes_inside_its_range():
-    assert decide_resumption(attrs.evolve(CUT, first_byte=5000)) == Resume(
+    assert decide_resumption(attrs.evolve(TRUNCATED, first_byte=5000)) == Resume(
         5400, 5999, '"v1"'
     )
 
 
 def test_an_answer_truncated_before_its_head_is_retried():
-    cut = attrs.evolve(CUT, head_delivered=False, delivered_bytes=0)
+    cut = attrs.evolve(TRUNCATED, head_delivered=False, delivered_bytes=0)
     assert decide_resumption(cut) == RetryElsewhere()
 
 
@@ -57,7 +57,7 @@
     ],
 )
 def test_an_answer_that_cannot_be_resumed_is_aborted(changes):
-    assert decide_resumption(attrs.evolve(CUT, **changes)) == Abort()
+    assert decide_resumption(attrs.evolve(TRUNCATED, **changes)) == Abort()
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
 @given(body=st.binary(min_size=1, max_size=200), cuts=st.lists(st.integers(0, 200)))
 def test_resumed_parts_make_the_whole_body_or_none(body, cuts):
     delivered = b""
-    cut = attrs.evolve(CUT, declared_bytes=len(body), delivered_bytes=0)
+    cut = attrs.evolve(TRUNCATED, declared_bytes=len(body), delivered_bytes=0)
     for number, length in enumerate(cuts):
         decision = decide_resumption(
             attrs.evolve(cut, delivered_bytes=len(delivered), resumptions=number)
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -114,7 +114,7 @@
 from azurestep.traffic.once_answers import make_http_answer
 from azurestep.traffic.packed_call import pack_call, request_digest
 from azurestep.traffic.pool import QuarantineReport
-from azurestep.traffic.request_head import request_head
+from azurestep.traffic.request_head import build_request_head
 from azurestep.traffic.table import RoutingTable
 from bench.fleet import free_ports
 
@@ -796,7 +796,10 @@
 
 def test_request_to_a_backend_server() -> None:
     extra = {traffic_headers.IDEMPOTENCY_KEY: "k"}
-    check("request_head", request_head(sample_call(), DeadlineBudget(550.5, 3), extra))
+    check(
+        "request_head",
+        build_request_head(sample_call(), DeadlineBudget(550.5, 3), extra),
+    )
     check("call_fingerprint", sample_call().fingerprint)
 
 
@@ -859,7 +862,7 @@
     may_have_run = traffic_answers.Refusal(
         504, traffic_answers.CallOutcome.MAY_HAVE_RUN, "timeout", None, True
     )
-    found = [traffic_answers.answer_of(one) for one in (not_run, may_have_run)]
+    found = [traffic_answers.make_answer(one) for one in (not_run, may_have_run)]
     check("refusals", [shown(one) for one in found])
 
 
--- a/tests/test_traffic_answers.py
+++ b/tests/test_traffic_answers.py
@@ -26,7 +26,7 @@
     assert body == body_slice("catalogue/track", 0, BIG_BYTES)
 
 
-async def test_a_cut_body_is_resumed(http, start_backend_server, start_traffic):
+async def test_a_truncated_body_is_resumed(http, start_backend_server, start_traffic):
     servers = [await start_backend_server() for _ in range(2)]
     rig = await start_traffic(*(server.address.port for server in servers))
     url = f"{rig.url}/track?bytes={BIG_BYTES}&cut_at=1000000"
@@ -37,7 +37,7 @@
     assert body == body_slice("catalogue/track", 0, BIG_BYTES)
 
 
-async def test_a_cut_range_is_resumed_inside_the_range(
+async def test_a_truncated_range_is_resumed_inside_the_range(
     start_raw_server, start_traffic, raw_call
 ):
     first = b"HTTP/1.1 206 Partial Content\r\nContent-Length: 100000\r\n"
@@ -65,7 +65,7 @@
     ],
     ids=["whole", "other_tag", "other_range"],
 )
-async def test_a_body_that_changed_is_never_appended(
+async def test_a_changed_body_is_never_appended(
     start_raw_server, start_traffic, raw_call, resumed
 ):
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n" + STRONG + b"\r\n"
@@ -84,7 +84,7 @@
     ],
     ids=["declared", "chunked"],
 )
-async def test_a_cut_that_cannot_be_resumed_is_visible(
+async def test_a_truncation_that_cannot_be_resumed_is_visible(
     http, start_raw_server, start_traffic, head
 ):
     server = await start_raw_server([head + b"a" * 65536, 0.1, None])
@@ -93,9 +93,7 @@
         await fetch(http, f"{rig.url}/songs")
 
 
-async def test_a_small_cut_body_is_fetched_elsewhere(
-    http, start_raw_server, start_traffic
-):
+async def test_a_small_truncated_body_is_retried(http, start_raw_server, start_traffic):
     cut = [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", None]
     server = await start_raw_server(cut, [OK])
     rig = await start_traffic(server.port)
@@ -103,7 +101,7 @@
     assert (status, body) == (200, b"hello")
 
 
-async def test_an_unasked_second_answer_is_not_taken_for_the_next(
+async def test_an_unexpected_second_answer_is_not_used_for_the_next_request(
     http, start_raw_server, start_traffic
 ):
     late = OK.replace(b"hello", b"wrong")
@@ -113,7 +111,7 @@
     assert bodies == [b"hello", b"hello"]
 
 
-async def test_an_answer_after_the_deadline_reaches_nobody(
+async def test_an_answer_after_the_deadline_is_discarded(
     http, start_raw_server, start_traffic
 ):
     late = OK.replace(b"hello", b"wrong")
@@ -163,7 +161,7 @@
     assert "Trailer" not in headers
 
 
-async def test_a_body_that_ends_with_the_connection_says_so(
+async def test_a_close_delimited_body_closes_the_callers_connection(
     start_raw_server, start_traffic, raw_call
 ):
     server = await start_raw_server([b"HTTP/1.1 200 OK\r\n\r\nhello", None])
@@ -175,7 +173,7 @@
     assert b"connection: close" in answer.lower()
 
 
-async def test_a_slow_caller_bounds_the_memory(
+async def test_the_body_for_a_slow_caller_is_not_buffered(
     start_backend_server, start_traffic, wait_until
 ):
     server = await start_backend_server()
@@ -194,7 +192,7 @@
     assert received == size
 
 
-async def test_the_backend_server_stops_when_the_caller_is_gone(
+async def test_a_run_is_cancelled_when_its_caller_disconnects(
     start_backend_server, start_traffic, wait_until
 ):
     server = await start_backend_server()
@@ -229,7 +227,7 @@
     assert b"content-length: %d\r\n" % len(body) in server.requests[0].lower()
 
 
-async def test_a_caller_that_expects_to_be_asked_is_asked(
+async def test_a_caller_that_expects_100_continue_receives_it(
     start_raw_server, start_traffic
 ):
     server = await start_raw_server([OK])
@@ -246,7 +244,7 @@
     assert answer.startswith(b"HTTP/1.1 200")
 
 
-async def test_an_absolute_target_goes_on_in_origin_form(
+async def test_an_absolute_target_is_forwarded_in_origin_form(
     start_raw_server, start_traffic, raw_call
 ):
     server = await start_raw_server([OK])
--- a/tests/test_traffic_last_answers.py
+++ b/tests/test_traffic_last_answers.py
@@ -79,13 +79,13 @@
     return rig.traffic.proxy.in_flight
 
 
-def verdicts_of(answer):
+def read_outcomes(answer):
     """Return status and whether it is said that the request has not run."""
     heads = re.findall(rb"HTTP/1\.1 (\d+)(.*?)\r\n\r\n", answer, re.DOTALL)
     return [(int(status), b"Azurestep-Not-Run: 1" in rest) for status, rest in heads]
 
 
-async def test_every_whole_request_is_answered(
+async def test_every_request_in_flight_is_answered(
     raw_call, start_backend_server, start_traffic, stop_node, wait_until
 ):
     server = await start_backend_server()
@@ -114,7 +114,7 @@
         stop_node(narrow, lambda: writer.write(slow)), stop_node(wide)
     )
     calls["sent last"] = asyncio.create_task(reader.read())
-    answers = {name: verdicts_of(await call) for name, call in calls.items()}
+    answers = {name: read_outcomes(await call) for name, call in calls.items()}
     writer.close()
 
     assert answers == {
@@ -128,7 +128,7 @@
     assert cuts == [4, 0]
 
 
-async def test_an_answer_that_began_is_broken_off_visibly(
+async def test_a_started_answer_is_aborted_visibly(
     raw_call, start_backend_server, start_traffic, stop_node, start_raw_server
 ):
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
@@ -141,13 +141,13 @@
     rest = await reader.read()
     writer.close()
 
-    assert verdicts_of(begun + rest) == [RAN]
+    assert read_outcomes(begun + rest) == [RAN]
     assert set(rest) <= {ord("a")}
     assert len(rest) <= 100_000
     assert cut == 1
 
 
-async def test_a_run_for_another_node_is_told_as_it_is(
+async def test_a_run_for_a_peer_reports_whether_it_may_have_run(
     start_backend_server, start_traffic, stop_node, wait_until
 ):
     server = await start_backend_server()
@@ -155,7 +155,7 @@
     proxy = rig.traffic.proxy
     runs = []
     for number in (1, 2):
-        call = a_call(proxy.table, f"/songs?delay_ms={LONG_MS}")
+        call = make_call(proxy.table, f"/songs?delay_ms={LONG_MS}")
         runs.append(asyncio.create_task(proxy.run_single(call)))
         await wait_until(lambda n=number: proxy.in_flight == n)
     await wait_until(lambda: server.load().in_flight == 1)
@@ -164,13 +164,13 @@
     assert [await run for run in runs] == [RunFailed(True), RunFailed(False)]
 
 
-def a_call(table, target):
+def make_call(table, target):
     packed = PackedCall("GET", target, "x", [Header("Host", "x")], b"")
     now_ms = Environment().clock.monotonic_ms()
     return unpack_call(packed, table, LONG_MS, now_ms)
 
 
-async def test_a_late_request_is_served_where_nothing_was_given_up(
+async def test_a_late_request_is_served_if_the_drain_completed(
     start_backend_server, start_traffic, stop_node
 ):
     server = await start_backend_server()
@@ -181,10 +181,10 @@
     answer = await reader.read()
     writer.close()
 
-    assert verdicts_of(answer) == [RAN]
+    assert read_outcomes(answer) == [RAN]
 
 
-async def test_the_end_of_an_answer_is_not_lost_with_the_process(
+async def test_the_end_of_an_answer_is_sent_before_the_exit(
     start_backend_server, start_traffic, stop_node, wait_until
 ):
     """A caller that read slowly lost the last 64 KiB or less of its answer.
@@ -213,7 +213,7 @@
     answer = await reading
     caller.close()
 
-    assert verdicts_of(answer) == [RAN]
+    assert read_outcomes(answer) == [RAN]
     assert len(answer.partition(b"\r\n\r\n")[2]) == 60_000
 
 
@@ -225,7 +225,7 @@
     return answer
 
 
-async def test_connections_that_wait_at_the_listener_are_served(
+async def test_connections_in_the_listeners_backlog_are_served(
     start_backend_server, start_traffic
 ):
     """A stop reset callers whose connections the kernel had taken in its last moment.
@@ -245,4 +245,4 @@
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(("127.0.0.1", rig.port))
 
-    assert [verdicts_of(answer) for answer in answers] == [[RAN]] * 3
+    assert [read_outcomes(answer) for answer in answers] == [[RAN]] * 3
--- a/tests/test_traffic_retries.py
+++ b/tests/test_traffic_retries.py
@@ -23,9 +23,7 @@
 
 
 @pytest.mark.parametrize("failure", [SHED, FAILED], ids=["shed", "error"])
-async def test_a_failed_get_is_answered_by_another_try(
-    http, start_raw_server, start_traffic, failure
-):
+async def test_a_failed_get_is_retried(http, start_raw_server, start_traffic, failure):
     server = await start_raw_server([failure, None], [OK])
     rig = await start_traffic(server.port)
     status, headers, body = await fetch(http, f"{rig.url}/songs")
@@ -43,7 +41,7 @@
     assert server.connections == 1
 
 
-async def test_the_last_error_is_passed_on_and_marked(
+async def test_the_last_error_is_relayed_and_marked_final(
     http, start_raw_server, start_traffic
 ):
     server = await start_raw_server(*([[FAILED, None]] * 9))
@@ -72,7 +70,9 @@
     assert (status, server.connections) == (200, 2)
 
 
-async def test_a_cut_payment_may_have_run(http, start_raw_server, start_traffic):
+async def test_a_payment_whose_connection_is_lost_may_have_run(
+    http, start_raw_server, start_traffic
+):
     server = await start_raw_server([None], [OK])
     rig = await start_traffic(server.port)
     status, headers, _ = await fetch(http, f"{rig.url}/pay", "POST", data=b"x")
@@ -80,7 +80,7 @@
     assert "Azurestep-Not-Run" not in headers
 
 
-async def test_resends_take_from_the_retry_budget(
+async def test_resends_spend_the_retry_budget(
     http, start_backend_server, start_traffic
 ):
     rule = RetryRule(max_attempts=2, budget_ratio=0.0)
@@ -96,7 +96,7 @@
     assert first_send[0] == 200
 
 
-async def test_deadline_and_depth_go_onwards(http, start_raw_server, start_traffic):
+async def test_deadline_and_depth_are_propagated(http, start_raw_server, start_traffic):
     server = await start_raw_server([OK])
     rig = await start_traffic(server.port)
     said = {"Azurestep-Deadline-Ms": "500", "Azurestep-Depth": "3"}
@@ -129,7 +129,7 @@
     assert len(reports[-1].updates[0].deaths) == 2
 
 
-async def test_news_of_another_node_refuse_at_once(
+async def test_a_peers_quarantine_report_applies_immediately(
     http, start_backend_server, start_traffic
 ):
     servers = [await start_backend_server() for _ in range(2)]
@@ -163,7 +163,7 @@
     assert (status, reports) == (200, [])
 
 
-async def test_a_refused_connection_is_tried_elsewhere(
+async def test_a_refused_connection_is_retried_elsewhere(
     http, start_backend_server, start_traffic, wait_until
 ):
     server = await start_backend_server()
--- a/tests/test_traffic_silent.py
+++ b/tests/test_traffic_silent.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("direction", [Direction.BOTH, Direction.TO_CALLER])
-async def test_requests_go_on_over_new_connections(
+async def test_requests_are_answered_over_new_connections(
     http, relay, start_traffic, direction
 ):
     rig = await start_traffic(relay.address.port)
@@ -53,7 +53,7 @@
     assert elapsed_s < 5
 
 
-async def test_all_older_connections_are_retired_by_the_first_proof(
+async def test_one_unresponsive_connection_retires_all_older_ones(
     http, relay, start_traffic, wait_until
 ):
     rig = await start_traffic(relay.address.port)
@@ -65,7 +65,7 @@
     assert relay.opened == opened + 1
 
 
-async def test_nobody_is_ejected_for_a_silent_connection(
+async def test_an_unresponsive_connection_ejects_no_server(
     http, relay, start_traffic, start_backend_server
 ):
     rig = await start_traffic(relay.address.port)
@@ -90,9 +90,7 @@
     assert relay.server.runs[""] == 1
 
 
-async def test_a_body_that_falls_silent_is_resumed(
-    http, start_raw_server, start_traffic
-):
+async def test_a_stalled_body_is_resumed(http, start_raw_server, start_traffic):
     fields = b'ETag: "v1"\r\nAccept-Ranges: bytes\r\n'
     first = b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n" + fields + b"\r\n"
     rest = b"HTTP/1.1 206 P\r\nContent-Length: 60000\r\n" + fields
@@ -104,7 +102,7 @@
     assert (status, body) == (200, b"a" * 40_000 + b"b" * 60_000)
 
 
-async def test_a_slow_server_is_not_asked_everything_twice(
+async def test_hedges_of_a_slow_server_are_limited(
     http, start_backend_server, start_traffic
 ):
     server = await start_backend_server(slots=64)
--- a/tests/test_traffic_stopping.py
+++ b/tests/test_traffic_stopping.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("path", [b"/songs", b"/track?bytes=%d" % SIZE])
-async def test_callers_are_asked_to_go_elsewhere(
+async def test_a_draining_node_closes_its_callers_connections(
     start_backend_server, start_traffic, path
 ):
     server = await start_backend_server()
@@ -42,7 +42,7 @@
     assert end == b""
 
 
-async def test_requests_in_flight_end_after_the_listener_closed(
+async def test_requests_in_flight_complete_after_the_listener_closes(
     http, start_backend_server, start_traffic, wait_until
 ):
     server = await start_backend_server()
@@ -96,7 +96,7 @@
     assert b'"service":"catalogue"' in await early
 
 
-async def test_a_node_without_a_table_says_so_in_the_end(http, start_traffic):
+async def test_a_node_without_a_table_refuses_after_a_wait(http, start_traffic):
     rig = await start_traffic()
     async with http.get(f"{rig.url}/songs") as response:
         assert response.status == 503
@@ -104,7 +104,7 @@
         assert response.headers["Azurestep-Not-Run"] == "1"
 
 
-async def test_a_caller_that_leaves_during_a_probe_frees_its_slot(
+async def test_a_caller_that_disconnects_during_a_probe_frees_its_slot(
     http, start_raw_server, start_traffic, wait_until
 ):
     """A slot was held for good when its caller left at that moment.
