--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -2,8 +2,8 @@
 
 from ...http.server import Exchange
 from ...platform.headers import CallerFields
-from ..backend.crashes import RETRY_MS as CRASH_RETRY_MS
-from ..decisions.admission import RETRY_LEAST_MS
+from ..backend.crashes import QUARANTINE_RETRY_AFTER_MS
+from ..decisions.admission import MIN_RETRY_AFTER_MS
 from ..decisions.choice import Endpoint
 from ..decisions.returning import Attempt
 from ..links.interfaces import Stream
@@ -62,9 +62,12 @@
         self._writer = AnswerWriter(exchange)
         self._ending = Ending(context, exchange, self.record, self._writer)
         self._deadline = Deadline(
-            context.runtime, now_ms + remaining_ms, context.answer_by_ms, self._on_timer
+            context.runtime,
+            now_ms + remaining_ms,
+            context.drain_deadline_ms,
+            self._on_timer,
         )
-        context.under_way.add(self)
+        context.calls_in_flight.add(self)
 
     # From the caller's connection.
 
@@ -106,13 +109,15 @@
     def _dispatch(self) -> None:
         context = self.context
         now_ms = context.runtime.now_ms()
-        endpoint = self._placement.choose(self._outgoing.wish(now_ms), now_ms)
+        endpoint = self._placement.choose(
+            self._outgoing.selection_criteria(now_ms), now_ms
+        )
         if endpoint is None:
             self._give_up()
             return
-        request = self._outgoing.request(now_ms, self._deadline.ends_ms, endpoint)
-        if context.crashes.refuses(request, now_ms):
-            self._refuse(Reason.QUARANTINED, CRASH_RETRY_MS)
+        request = self._outgoing.request(now_ms, self._deadline.deadline_ms, endpoint)
+        if context.crashes.is_quarantined(request, now_ms):
+            self._refuse(Reason.QUARANTINED, QUARANTINE_RETRY_AFTER_MS)
             return
         self.record.instance = endpoint.incarnation.instance_id
         self.record.asked += 1
@@ -147,21 +152,21 @@
         if self._outgoing.sends_later(endpoint):
             self._stream.body(self._body.content(), True)
 
-    def on_doubt(self, let_go: bool) -> None:
+    def on_unresponsive(self, confirmed: bool) -> None:
         """Go elsewhere, if that is safe and there is another way."""
         endpoint = self._placement.endpoint
         if self.done or self._writer.started or self._body.streamed or endpoint is None:
             return
         if self._withdrawn or not self._placement.has_other():
             return
-        if let_go and not self._doubt_allows_run():
+        if confirmed and not self._doubt_allows_run():
             return
         stream, self._stream = self._stream, None
         self._placement.leave()
         self._placement.exclude(endpoint)
-        if stream is not None and let_go:
+        if stream is not None and confirmed:
             self._former = FormerRun(self, stream, endpoint)
-            stream.hand_over(self._former)
+            stream.replace_receiver(self._former)
         elif stream is not None:
             stream.cancel()
         self._log_retry(Reason.LINK_LOST)
@@ -213,7 +218,7 @@
             return False
         self._forget_unsure_run()
         self._stream = former.stream
-        former.stream.hand_over(self)
+        former.stream.replace_receiver(self)
         self._placement.take(former.endpoint)
         self.record.instance = former.endpoint.incarnation.instance_id
         return True
@@ -234,7 +239,7 @@
         reason = Reason(refusal.reason)
         self._refusal = refusal
         if endpoint is not None:
-            endpoint.tell(refusal.in_flight)
+            endpoint.update_load(refusal.in_flight)
             if reason is Reason.OVERLOADED:
                 self._placement.exclude(endpoint)
             else:
@@ -281,8 +286,8 @@
         endpoint = self._placement.endpoint
         self.record.answered(answer)
         if endpoint is not None:
-            endpoint.run_ms[self.route.name] = answer.mean_run_ms
-            self.context.usual.learn(self.route.name, answer.mean_run_ms)
+            endpoint.mean_run_ms[self.route.name] = answer.mean_run_ms
+            self.context.mean_run_times.learn(self.route.name, answer.mean_run_ms)
         if self._is_error(answer) and not self._body.streamed:
             self.record.runs += 1
             self._unsure_runs += 1
@@ -290,7 +295,7 @@
                 return
         self._placement.leave()
         if endpoint is not None:
-            endpoint.tell(answer.in_flight)
+            endpoint.update_load(answer.in_flight)
         self._pass_on(answer)
 
     def _is_bettered(self, answer: Answer, endpoint: Endpoint | None) -> bool:
@@ -339,11 +344,11 @@
         self._drop_former()
         if answer.status < GOOD_BELOW:
             size_bytes = max(answer.length, len(answer.body))
-            self.context.sizes.learn(self.route.name, size_bytes)
+            self.context.answer_sizes.learn(self.route.name, size_bytes)
         if answer.whole:
             self._close(cancel=False)
             self._ending.answered(answer.status)
-            self._writer.whole(answer)
+            self._writer.write_whole(answer)
             return
         self.record.log_end(answer.status, self._now_ms())
         self._writer.begin(answer)
@@ -362,12 +367,12 @@
         now_ms = self._now_ms()
         if (
             self.record.runs >= self.route.max_attempts
-            or now_ms >= self._deadline.ends_ms
+            or now_ms >= self._deadline.deadline_ms
         ):
             return False
         if self.record.asked >= ASKED_MOST:
             return False
-        return self.context.budget.spend(self.service, now_ms)
+        return self.context.retry_budget.spend(self.service, now_ms)
 
     def _give_up(self) -> None:
         refusal = self._refusal
@@ -393,10 +398,10 @@
         self._close(cancel=True)
         self._ending.failed(reason)
 
-    def end_by(self, answer_by_ms: float) -> None:
+    def limit_deadline(self, drain_deadline_ms: float) -> None:
         """Answer by then: this node is stopping."""
         if not self._withdrawn:
-            self._deadline.end_by(answer_by_ms)
+            self._deadline.limit_deadline(drain_deadline_ms)
 
     def _on_timer(self) -> None:
         try:
@@ -417,11 +422,15 @@
         if self._writer.started and self._deadline.wait_for_caller():
             return
         stream = self._stream
-        if stream is not None and stream.may_run and not self._asks_whether_it_ran():
+        if (
+            stream is not None
+            and stream.may_have_run
+            and not self._asks_whether_it_ran()
+        ):
             self._withdrawn = True
             self._deadline.extend(WITHDRAWAL_MS)
             stream.withdraw()
-        elif self._writer.started or (stream is not None and stream.may_run):
+        elif self._writer.started or (stream is not None and stream.may_have_run):
             self._time_out()
         else:
             self._refuse_late()
@@ -434,7 +443,7 @@
         if self._unsure_runs:
             self._time_out()
         else:
-            self._refuse(self._late_reason(Reason.TOO_LATE), RETRY_LEAST_MS)
+            self._refuse(self._late_reason(Reason.TOO_LATE), MIN_RETRY_AFTER_MS)
 
     def _late_reason(self, reason: Reason) -> Reason:
         """Return the reason at the deadline, or that this node's stop set it."""
@@ -444,7 +453,7 @@
         self._close(cancel=True)
         self._ending.failed(self._late_reason(Reason.TIMEOUT), GATEWAY_TIMEOUT)
 
-    def log_cut(self) -> None:
+    def log_aborted(self) -> None:
         """Log that the node ends before the answer; its connection ends with it."""
         self._ending.cut()
 
@@ -458,7 +467,7 @@
 
     def _close(self, cancel: bool) -> None:
         self.done = True
-        self.context.under_way.discard(self)
+        self.context.calls_in_flight.discard(self)
         self._deadline.cancel()
         self._placement.leave()
         self._drop_former()
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -9,8 +9,8 @@
 from . import events
 from .backend.inbound import Inbound
 from .callers.outbound import Outbound
-from .decisions.stopping import StopPlan
-from .links.server import PeerListener
+from .decisions.stopping import ShutdownPlan
+from .links.incoming import IncomingLinks
 from .runtime import Runtime
 
 
@@ -24,7 +24,7 @@
         Connections of callers.
     close_callers : Callable
         Stops taking connections of callers.
-    plan : StopPlan or None
+    plan : ShutdownPlan or None
         When what happens; None until the stop begins.
     """
 
@@ -33,33 +33,37 @@
     callers: ServerState
     outbound: Outbound
     inbound: Inbound
-    listener: PeerListener
+    incoming_links: IncomingLinks
     close_callers: Callable[[], None]
-    plan: StopPlan | None = None
+    plan: ShutdownPlan | None = None
 
     def begin(self, grace_ms: float) -> bool:
         """Begin, and return whether it had not begun before."""
         if self.plan is not None:
             return False
-        self.plan = StopPlan(self.runtime.now_ms(), grace_ms)
+        self.plan = ShutdownPlan(self.runtime.now_ms(), grace_ms)
         self.callers.draining = True
-        self.outbound.context.end_by(self.plan.answer_by_ms)
-        self.inbound.stop(self.plan.answer_by_ms)
+        self.outbound.context.limit_deadline(self.plan.drain_deadline_ms)
+        self.inbound.stop(self.plan.drain_deadline_ms)
         self._log(events.STOPPING)
         return True
 
     def advance(self, now_ms: float) -> bool:
         """Take the next step; return whether the node may end."""
         plan = self.plan
-        if plan is None or now_ms < plan.refuses_from_ms:
+        if plan is None or now_ms < plan.refuse_from_ms:
             return False
         if not self.outbound.closed:
             self.outbound.closed = True
             self.close_callers()
             # What was accepted last is read, and refused, before the next look.
             return False
-        busy = self.callers.busy or self.inbound.busy or self.listener.busy
-        if busy and now_ms < plan.ends_ms:
+        busy = (
+            self.callers.busy
+            or self.inbound.busy
+            or self.incoming_links.has_unsent_outcomes
+        )
+        if busy and now_ms < plan.exit_deadline_ms:
             return False
         for connection in list(self.callers.connections):
             self.runtime.run_guarded("stop", connection.close_if_idle)
@@ -69,8 +73,8 @@
 
     def finish(self) -> None:
         """Say what the node leaves as it ends."""
-        for call in list(self.outbound.context.under_way):
-            call.log_cut()
+        for call in list(self.outbound.context.calls_in_flight):
+            call.log_aborted()
         self._log(events.STOPPED)
 
     def _log(self, event: Event) -> None:
@@ -78,7 +82,7 @@
         events.log(
             event,
             node=self.instance,
-            calls=len(self.outbound.context.under_way),
+            calls=len(self.outbound.context.calls_in_flight),
             runs=len(admission.running),
             waiting=admission.in_flight - len(admission.running),
         )
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -8,15 +8,15 @@
 from hypothesis import strategies as st
 
 from azurestep.mesh.decisions.cadence import (
-    IDLE_PROBE_LEAST_MS,
     IDLE_PROBES_PER_S,
+    MIN_IDLE_PROBE_INTERVAL_MS,
     REPORT_LEAST_MS,
-    ReportPace,
-    idle_probe_ms,
+    ReportPacer,
+    idle_probe_interval_ms,
 )
-from azurestep.mesh.knowledge.configuration import PEER, STORE
-from azurestep.mesh.links.link import DOUBT_MS
-from azurestep.mesh.links.server import PeerListener, PeerServer
+from azurestep.mesh.knowledge.configuration import SOURCE_PEER, SOURCE_STORE
+from azurestep.mesh.links.incoming import IncomingLink, IncomingLinks
+from azurestep.mesh.links.link import UNRESPONSIVE_AFTER_MS
 from azurestep.mesh.messages import Kind, compress, decompress
 
 from .fixtures_mesh import MeshFleet, document
@@ -26,14 +26,14 @@
 
 @given(links=LINKS)
 def test_a_node_sends_no_more_probes_than_its_rate(links: int) -> None:
-    per_s = links * 1000 / idle_probe_ms(links)
+    per_s = links * 1000 / idle_probe_interval_ms(links)
     assert per_s <= IDLE_PROBES_PER_S + 1e-6
-    assert idle_probe_ms(links) >= IDLE_PROBE_LEAST_MS
+    assert idle_probe_interval_ms(links) >= MIN_IDLE_PROBE_INTERVAL_MS
 
 
 @given(links=LINKS)
 def test_load_reports_keep_to_their_rate(links: int) -> None:
-    audience = ReportPace(per_s=40.0)
+    audience = ReportPacer(per_s=40.0)
     seconds = 100
     sent = sum(
         audience.is_due(str(tick).encode(), links, tick * 100.0)
@@ -44,7 +44,7 @@
 
 
 def test_a_report_that_says_nothing_new_is_not_sent() -> None:
-    audience = ReportPace(per_s=40.0)
+    audience = ReportPacer(per_s=40.0)
     assert audience.is_due(b"a", 2, 0.0)
     assert not audience.is_due(b"a", 2, 10_000.0)
     assert not audience.is_due(b"b", 2, 100.0)
@@ -68,7 +68,7 @@
     mesh: MeshFleet,
 ) -> None:
     leaving, other = mesh.instances[0], mesh.instances[1]
-    for server in (item.node.listener for item in mesh.instances):
+    for server in (item.node.incoming_links for item in mesh.instances):
         server.broadcast_state()
     await leaving.beat(mesh.session, "draining")
     async with asyncio.timeout(0.2):
@@ -80,25 +80,25 @@
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     reports: list[int] = []
-    plain = PeerListener._write
+    plain = IncomingLinks._write
 
-    def counting(self: PeerListener, servers: set[PeerServer], data: bytes) -> None:
+    def counting(self: IncomingLinks, servers: set[IncomingLink], data: bytes) -> None:
         reports.append(len(servers) if data[1] == Kind.STATE else 0)
         plain(self, servers, data)
 
-    monkeypatch.setattr(PeerListener, "_write", counting)
-    listener = mesh.instances[0].node.listener
+    monkeypatch.setattr(IncomingLinks, "_write", counting)
+    incoming_links = mesh.instances[0].node.incoming_links
     configuration = mesh.instances[0].node.configuration
-    far = {one for one in listener.servers if not listener._is_near(one)}
-    listener.broadcast_state()
+    far = {one for one in incoming_links.links if not incoming_links._is_near(one)}
+    incoming_links.broadcast_state()
     reports.clear()
-    configuration.offer(document(40), PEER)
-    listener.broadcast_state()
+    configuration.apply_if_newer(document(40), SOURCE_PEER)
+    incoming_links.broadcast_state()
     assert max(reports, default=0) <= len(far)
-    configuration.offer(document(41), STORE)
+    configuration.apply_if_newer(document(41), SOURCE_STORE)
     reports.clear()
-    listener.broadcast_state()
-    assert reports == [len(listener.servers)]
+    incoming_links.broadcast_state()
+    assert reports == [len(incoming_links.links)]
     await asyncio.sleep(0)
 
 
@@ -108,22 +108,22 @@
     for link in links:
         assert link.connection is not None
         link.connection.ping()
-    time.sleep(DOUBT_MS / 1000 + 0.05)
+    time.sleep(UNRESPONSIVE_AFTER_MS / 1000 + 0.05)
     node._tick([])
-    assert not any(link.endpoint.doubted for link in links)
+    assert not any(link.endpoint.unresponsive for link in links)
 
 
 async def test_a_version_is_pushed_by_the_node_that_read_it_only(
     mesh: MeshFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    pushed: list[PeerListener] = []
+    pushed: list[IncomingLinks] = []
 
-    def note(self: PeerListener) -> None:
+    def note(self: IncomingLinks) -> None:
         pushed.append(self)
 
-    monkeypatch.setattr(PeerListener, "push_configuration", note)
+    monkeypatch.setattr(IncomingLinks, "push_configuration", note)
     node = mesh.instances[0].node
-    node.configuration.offer(document(50), PEER)
+    node.configuration.apply_if_newer(document(50), SOURCE_PEER)
     assert pushed == []
-    node.configuration.offer(document(51), STORE)
-    assert pushed == [node.listener]
+    node.configuration.apply_if_newer(document(51), SOURCE_STORE)
+    assert pushed == [node.incoming_links]
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -23,7 +23,7 @@
 
 def speak_again(instance: MeshInstance) -> None:
     """Let a silenced node's answers through again."""
-    for server in list(instance.node.listener.servers):
+    for server in list(instance.node.incoming_links.links):
         vars(server).pop("write", None)
 
 
@@ -140,14 +140,14 @@
     mesh: MeshFleet,
 ) -> None:
     serving, other, asking = mesh.instances
-    other.node.inbound.admission.closes_ms = 0.0
+    other.node.inbound.admission.drain_deadline_ms = 0.0
     task = await run_at_one(mesh)
     silence(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
     asking.server.instance_id += "b"
     await asking.beat(mesh.session)
     await eventually(lambda: asking.node.inbound.open, 0.3)
-    for server in list(serving.node.listener.servers):
+    for server in list(serving.node.incoming_links.links):
         server.abort()
     assert await task == 200
     assert other.server.runs["m1"] == 0
@@ -164,7 +164,7 @@
     await eventually(lambda: serving.server.running == 4)
     task = asyncio.create_task(read(mesh, asking, "n1"))
     await eventually(lambda: serving.node.inbound.admission.in_flight == 5)
-    other.node.inbound.admission.closes_ms = 0.0
+    other.node.inbound.admission.drain_deadline_ms = 0.0
     await reopen(mesh, other)
     silence(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
--- a/tests/test_mesh_downloads.py
+++ b/tests/test_mesh_downloads.py
@@ -117,7 +117,7 @@
     await caller.beat(mesh.session, "draining")
     await asyncio.sleep(0.05)
     for _ in range(40):
-        caller.node.calls.sizes.learn("read", answer_bytes)
+        caller.node.calls.answer_sizes.learn("read", answer_bytes)
     for instance in servers:
         instance.server.work_s = 0.5
     task = asyncio.create_task(mesh.get(caller, "/read/1", "m1"))
@@ -125,7 +125,7 @@
     silent = next(one for one in servers if one.server.runs["m1"])
     silence(silent)
     await asyncio.sleep(0.35)
-    for server in list(silent.node.listener.servers):
+    for server in list(silent.node.incoming_links.links):
         del server.write
     assert (await task)[0] == 200
     return sum(one.server.runs["m1"] for one in servers)
