--- a/azurestep/http/server.py
+++ b/azurestep/http/server.py
@@ -1,8 +1,6 @@
-"""Serving HTTP/1.1: requests of one connection run side by side, answers in order.
+"""HTTP/1.1 server that handles pipelined requests of a connection concurrently.
 
-A request behind another on its connection does not wait for it. With aiohttp's
-server, which handles one request of a connection at a time, 67% of pipelined
-reads were answered within their objective on a quiet day; side by side it was 93%.
+Answers are sent in the order of the requests.
 """
 
 import asyncio
@@ -17,26 +15,26 @@
 from .exchange import Exchange, Handler, Headers, answer_error
 
 HEAD_SLACK_BYTES = 65_536
-PIPELINE_MOST = 64
+MAX_PIPELINED_REQUESTS = 64
 
 
 @attrs.define
 class ServerState:
-    """What all connections of a listener share.
+    """Shared state of all connections of a listener.
 
     Attributes
     ----------
     handler : Handler
-        Called when the head of a request is read; it sets the exchange's sink.
+        Called after the head of a request was read; it sets the exchange's sink.
     limits : Limits
-        What a caller may send.
+        Size limits and timeouts of requests.
     on_fault : Callable
-        Called with a fault of this program, and whether only its request failed; if
-        not, the connection is reset.
+        Called with an internal error, and whether only its request failed; otherwise
+        the connection is reset.
     answer_fault : Handler
-        Answers a request whose handler failed.
+        Answers a request after an internal error.
     draining : bool
-        Whether answers ask callers to close their connections.
+        Whether connections close after their pending answers.
     """
 
     handler: Handler
@@ -47,13 +45,13 @@
     connections: "set[ServerConnection]" = attrs.field(factory=set)
 
     def sweep(self, now_s: float) -> None:
-        """Close idle connections and those whose request head takes too long."""
+        """Enforce the timeouts of all connections."""
         for connection in list(self.connections):
-            connection.check_age(now_s)
+            connection.check_timeouts(now_s)
 
     @property
     def busy(self) -> bool:
-        """Whether a request is unanswered, or bytes of an answer have not left."""
+        """Whether any connection has a pending answer or unsent bytes."""
         return any(connection.busy for connection in self.connections)
 
 
@@ -74,36 +72,37 @@
         self._closing = False
         self._paused_writing = False
         self._paused_reading = False
-        self._active_s = 0.0
+        self._last_activity_s = 0.0
         self._loop = asyncio.get_running_loop()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
         self._transport = transport  # type: ignore[assignment]
-        self._active_s = self._loop.time()
+        self._last_activity_s = self._loop.time()
         self.state.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell all requests that their caller is gone."""
+        """Notify all pending requests that the caller disconnected."""
         self.state.connections.discard(self)
         self._closing = True
         exchanges, self.exchanges = self.exchanges, deque()
         for exchange in exchanges:
             exchange.finished = True
-            self._tell_gone(exchange)
+            self._notify_disconnect(exchange)
 
-    def _tell_gone(self, exchange: Exchange) -> None:
-        """Tell one request; a fault there keeps no other from being told."""
+    def _notify_disconnect(self, exchange: Exchange) -> None:
+        """Notify a request; an error in its sink doesn't affect other requests."""
         try:
             if exchange.sink is not None:
                 exchange.sink.on_disconnect()
         except Exception as error:
             self.state.on_fault(error, True)
 
-    def _contain(self, exchange: Exchange, error: Exception) -> None:
-        """End the request that met a fault of this program; the others go on.
+    def _end_on_fault(self, exchange: Exchange, error: Exception) -> None:
+        """End a request after an internal error; other requests are unaffected.
 
-        Before it was read whole, its answer would close the connection.
+        It is answered once it was read completely: an earlier answer would close the
+        connection.
         """
         self.state.on_fault(error, True)
         exchange.failed = True
@@ -111,8 +110,8 @@
         if sink is not None:
             try:
                 sink.on_fault()
-            except Exception as another:
-                self.state.on_fault(another, True)
+            except Exception as second_error:
+                self.state.on_fault(second_error, True)
         if exchange.received:
             self._answer_fault(exchange)
 
@@ -125,44 +124,44 @@
             self.state.answer_fault(exchange)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the caller sent."""
+        """Parse received bytes."""
         if self._closing:
             return
-        self._active_s = self._loop.time()
+        self._last_activity_s = self._loop.time()
         if self._in_head:
             self._head_bytes += len(data)
             if self._head_bytes > self.state.limits.header_bytes + HEAD_SLACK_BYTES:
-                self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+                self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
                 return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(HTTPStatus.NOT_IMPLEMENTED)
+            self._reject(HTTPStatus.NOT_IMPLEMENTED)
         except httptools.HttpParserCallbackError as error:
             self.state.on_fault(error.__context__ or error, False)
             self.abort()
         except httptools.HttpParserError:
-            self._refuse(HTTPStatus.BAD_REQUEST)
+            self._reject(HTTPStatus.BAD_REQUEST)
 
     def pause_writing(self) -> None:
-        """Note that the caller does not take bytes."""
+        """Record that the send buffer is full."""
         self._paused_writing = True
 
     def resume_writing(self) -> None:
-        """Pass on that the caller takes bytes again."""
+        """Notify the first request that the send buffer has room again."""
         self._paused_writing = False
-        self._tell_writable()
+        self._notify_writable()
 
-    def _tell_writable(self) -> None:
+    def _notify_writable(self) -> None:
         exchange = self.exchanges[0] if self.exchanges else None
         if exchange is not None and exchange.sink is not None:
             try:
                 exchange.sink.on_writable()
             except Exception as error:
-                self._contain(exchange, error)
+                self._end_on_fault(exchange, error)
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Start a new request."""
         self._headers = []
         self._target = b""
         self._head_bytes = 0
@@ -170,15 +169,15 @@
         self._in_head = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the request target."""
+        """Add a chunk of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Hand the request to the handler."""
+        """Pass the request to the handler unless it exceeds a limit."""
         if self._closing:
             return
         self._in_head = False
@@ -204,32 +203,32 @@
         self._reading = exchange
         self.exchanges.append(exchange)
         if size > self.state.limits.header_bytes:
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         elif length > self.state.limits.body_bytes:
-            self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         else:
             try:
                 self.state.handler(exchange)
             except Exception as error:
-                self._contain(exchange, error)
+                self._end_on_fault(exchange, error)
 
     def on_body(self, data: bytes) -> None:
-        """Pass on a piece of the body."""
+        """Pass a chunk of the body to the sink."""
         exchange = self._reading
         if exchange is None or self._closing:
             return
         self._body_bytes += len(data)
         if self._body_bytes > self.state.limits.body_bytes:
-            self._tell_gone(exchange)
-            self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            self._notify_disconnect(exchange)
+            self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         elif exchange.sink is not None:
             try:
                 exchange.sink.on_body(data)
             except Exception as error:
-                self._contain(exchange, error)
+                self._end_on_fault(exchange, error)
 
     def on_message_complete(self) -> None:
-        """Tell the sink that the request is whole."""
+        """Notify the sink of the end of the request."""
         exchange, self._reading = self._reading, None
         if exchange is None or self._closing:
             return
@@ -240,27 +239,27 @@
             try:
                 exchange.sink.on_end()
             except Exception as error:
-                self._contain(exchange, error)
+                self._end_on_fault(exchange, error)
         elif exchange.failed:
             self._answer_fault(exchange)
-        if len(self.exchanges) >= PIPELINE_MOST:
+        if len(self.exchanges) >= MAX_PIPELINED_REQUESTS:
             self.pause_reading()
         self.flush()
 
     def pause_reading(self) -> None:
-        """Take no more bytes from the caller."""
+        """Stop reading from the caller."""
         if not self._paused_reading and self._transport is not None:
             self._paused_reading = True
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Take bytes from the caller again."""
+        """Continue to read from the caller."""
         if self._paused_reading and self._transport is not None:
             self._paused_reading = False
             self._transport.resume_reading()
 
     def closes_after(self, exchange: Exchange) -> bool:
-        """Whether the connection ends after the answer to a request."""
+        """Whether the connection closes after the answer to a request."""
         if not exchange.keep_alive or not exchange.received:
             self._closing = True
             return True
@@ -271,10 +270,10 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a request is unanswered, or bytes of an answer have not left.
+        """Whether an answer is pending or the send buffer has unsent bytes.
 
-        A process that ends drops what its send buffers hold: a caller that takes 4 MB
-        slowly was missing the end of its answer.
+        Unsent bytes count because a process that exits discards them, which would
+        truncate an answer to a slow caller.
         """
         if self.exchanges:
             return True
@@ -282,12 +281,12 @@
         return transport is not None and transport.get_write_buffer_size() > 0
 
     def is_writable(self, exchange: Exchange) -> bool:
-        """Whether an answer's bytes leave now, with room in the send buffer."""
+        """Whether an answer is first in line and the send buffer has room."""
         first = bool(self.exchanges) and self.exchanges[0] is exchange
         return first and not self._paused_writing
 
     def flush(self) -> None:
-        """Write what is ready, in the order of the requests."""
+        """Write available answers in the order of their requests."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -298,18 +297,20 @@
                 exchange.parts.clear()
             if not exchange.finished:
                 return
-            ends = not exchange.received or (self._closing and len(self.exchanges) == 1)
+            closes = not exchange.received or (
+                self._closing and len(self.exchanges) == 1
+            )
             self.exchanges.popleft()
-            if ends:
+            if closes:
                 transport.close()
                 return
-            self._promote()
-        self._active_s = self._loop.time()
+            self._begin_next_answer()
+        self._last_activity_s = self._loop.time()
 
-    def _promote(self) -> None:
-        if self._paused_reading and len(self.exchanges) < PIPELINE_MOST // 2:
+    def _begin_next_answer(self) -> None:
+        if self._paused_reading and len(self.exchanges) < MAX_PIPELINED_REQUESTS // 2:
             self.resume_reading()
-        self._tell_writable()
+        self._notify_writable()
 
     def abort(self) -> None:
         """Reset the connection."""
@@ -317,16 +318,16 @@
             self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is unanswered or half read."""
+        """Close the connection unless a request is pending or being read."""
         if not self.exchanges and not self._in_head and self._transport is not None:
             self._closing = True
             self._transport.close()
 
-    def check_age(self, now_s: float) -> None:
-        """Enforce the idle and header times."""
-        age_ms = (now_s - self._active_s) * 1000
+    def check_timeouts(self, now_s: float) -> None:
+        """Enforce the idle timeout and the timeout of request heads."""
+        age_ms = (now_s - self._last_activity_s) * 1000
         if self._in_head and age_ms > self.state.limits.header_timeout_ms:
-            self._refuse(HTTPStatus.REQUEST_TIMEOUT)
+            self._reject(HTTPStatus.REQUEST_TIMEOUT)
         elif not self.exchanges and age_ms > self.state.limits.idle_timeout_ms:
             self.close_if_idle()
 
@@ -334,8 +335,8 @@
         if self._transport is not None and not self.exchanges:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _refuse(self, status: HTTPStatus) -> None:
-        """Answer what can't be served and close once earlier answers are out."""
+    def _reject(self, status: HTTPStatus) -> None:
+        """Send an error and close the connection after all earlier answers."""
         exchange = self._reading
         if exchange is None:
             exchange = Exchange(self, b"", b"", [], False, False, 0)
