--- a/azurestep/traffic/answers.py
+++ b/azurestep/traffic/answers.py
@@ -1,4 +1,4 @@
-"""Answers that a node gives itself, in place of a backend server."""
+"""Answers that the node itself generates, without a backend server's answer."""
 
 import math
 from enum import StrEnum
@@ -19,10 +19,10 @@
 
 
 class CallOutcome(StrEnum):
-    """What a caller may conclude from a failed request.
+    """Whether a failed request may have run.
 
-    ``NOT_RUN`` is said only if no byte of the request reached a backend
-    server, or if the backend server itself said that it refused.
+    ``NOT_RUN`` is used only if no byte of the request was sent to a backend
+    server, or if the backend server itself refused the request.
     """
 
     NOT_RUN = "not_run"
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class Refusal:
-    """A final answer to a request that got none from a backend server.
+    """An error answer to a request without an answer of a backend server.
 
     Attributes
     ----------
@@ -42,7 +42,7 @@
     reason : str
         Short name of the cause.
     retry_after_ms : float or None
-        Time after which to come back; None if coming back is of no use.
+        Time after which to send again; None if that is of no use.
     is_final : bool
         Whether hops above must not retry.
     """
@@ -55,12 +55,12 @@
 
 
 def not_run(status: int, reason: str, retry_after_ms: float | None) -> Refusal:
-    """Return the refusal of a request that reached no backend server."""
+    """Return the refusal of a request that did not run."""
     return Refusal(status, CallOutcome.NOT_RUN, reason, retry_after_ms)
 
 
 def make_refusal(decision: GiveUp, attempt: Attempt) -> Refusal:
-    """Return the refusal that ends the attempts at a request."""
+    """Return the refusal after the last attempt at a request."""
     if decision.not_run:
         outcome, status = CallOutcome.NOT_RUN, UNAVAILABLE
     elif attempt.kind is OutcomeKind.TIMEOUT:
--- a/azurestep/traffic/attempt.py
+++ b/azurestep/traffic/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent to one backend server."""
+"""Attempts: a request sent to one backend server."""
 
 import asyncio
 from collections.abc import Mapping
@@ -29,7 +29,7 @@
 
 @attrs.define
 class Attempt:
-    """What became of one attempt up to the head of its answer.
+    """Result of one attempt, up to the head of its answer.
 
     Attributes
     ----------
@@ -38,9 +38,9 @@
     latency_ms : float
         Time to the first byte of the answer or to the failure.
     response : BackendAnswer or None
-        The answer, whose body is still to be read.
+        The answer with an unread body; None without an answer.
     is_final : bool
-        Whether a hop below already dealt with the failure.
+        Whether a hop below already handled the failure.
     sent_ms : float
         Monotonic time at which the request was sent.
     """
@@ -55,14 +55,14 @@
 class AttemptSender:
     """Sends attempts over pooled connections.
 
-    Idempotent requests use a pooled connection and are asked again on a new one
-    when that stays silent. Any other request gets a new connection: a silent
-    one would leave it unknown whether the request ran.
+    An idempotent request uses a pooled connection and is hedged on a new one if the
+    pooled one stays unresponsive. Any other request gets a new connection, since
+    an unresponsive one would leave it unknown whether the request ran.
 
     Parameters
     ----------
     connections : ConnectionPool
-        The pool.
+        Connections to the backend servers.
     clock : Clock
         Source of time.
     """
@@ -100,7 +100,7 @@
             connection = await self._connections.open(address, timeout_ms)
         except ConnectFailedError:
             return False
-        # A dying process may accept just before its listener closes.
+        # A process that is exiting may accept just before its listener closes.
         await asyncio.sleep(PROBE_SETTLE_S)
         is_alive = connection.is_usable
         self._connections.put_back(address, connection)
@@ -154,7 +154,7 @@
         budget.earn()
 
         def may_hedge() -> bool:
-            # Once an address proved silent, its older connections cost nothing.
+            # Hedges of connections known to be unresponsive spend no budget.
             valid_from_ms = self._connections.valid_from_ms(address)
             return connection.opened_ms < valid_from_ms or budget.spend()
 
--- a/azurestep/traffic/backend_answer.py
+++ b/azurestep/traffic/backend_answer.py
@@ -1,4 +1,4 @@
-"""Answer of a backend server, whose body is still to be read."""
+"""Answer of a backend server with an unread body."""
 
 import aiohttp
 import attrs
@@ -28,22 +28,22 @@
 
 @attrs.define
 class BackendAnswer:
-    """Head of an answer with the connection that brings its body.
+    """Head of an answer and the connection that its body is read from.
 
     Attributes
     ----------
     head : Head
         Status, headers and body stream.
     connection : BackendConnection
-        Where it comes from.
+        Connection to the backend server.
     address : Address
         Address of the backend server.
     connections : ConnectionPool
-        Where the connection goes when the body is read.
+        Pool that the connection returns to after the body was read.
     has_body : bool
         Whether a body may follow the head.
     first_byte_ms : float
-        Monotonic time at which the head came.
+        Monotonic time at which the head was received.
     """
 
     head: Head
@@ -71,7 +71,7 @@
 
     @property
     def length(self) -> int | None:
-        """Declared length of the body in bytes; None when there is none."""
+        """Declared length of the body in bytes; None if not declared."""
         if not self.has_body:
             return 0
         text = self.headers.get("Content-Length")
@@ -81,12 +81,12 @@
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether only the end of the connection marks the end of the body."""
+        """Whether the body is delimited by the close of the connection."""
         return self.length is None and not self.head.message.chunked
 
     @property
     def is_received(self) -> bool:
-        """Whether the whole body is already here."""
+        """Whether the whole body was received."""
         payload = self.head.payload
         return payload.is_eof() and payload.exception() is None
 
@@ -96,7 +96,7 @@
         Raises
         ------
         BodyTruncatedError
-            If it ends too soon.
+            If the body ends before its declared end.
         """
         if not self.has_body:
             return b""
@@ -112,12 +112,12 @@
         return body
 
     async def read_up_to(self, maximum_bytes: int) -> bytes | None:
-        """Return the whole body, or None once it exceeds a bound.
+        """Return the whole body, or None if it exceeds a maximum size.
 
         Raises
         ------
         BodyTruncatedError
-            If it ends too soon.
+            If the body ends before its declared end.
         """
         body = bytearray()
         while chunk := await self.read_some():
@@ -129,12 +129,12 @@
         return bytes(body)
 
     async def read_some(self) -> bytes:
-        """Return the bytes that are here, waiting for some; none at the end.
+        """Return the next received bytes; empty at the end of the body.
 
         Raises
         ------
         BodyTruncatedError
-            If the body ends too soon.
+            If the connection is lost.
         """
         try:
             return await self.head.payload.readany()
@@ -142,7 +142,7 @@
             raise BodyTruncatedError from error
 
     def content_range(self) -> ContentRange | None:
-        """Return the ``Content-Range`` of a partial answer, None if unusable."""
+        """Return the ``Content-Range`` of a partial answer, or None if unusable."""
         text = self.headers.get("Content-Range", "")
         if not text.startswith(CONTENT_RANGE_UNIT):
             return None
@@ -153,7 +153,7 @@
         return ContentRange(int(first), int(last))
 
     def release(self) -> None:
-        """Keep the connection if the body was read, break it otherwise."""
+        """Put the connection back if the body was read, abort it otherwise."""
         if self._is_released:
             return
         self._is_released = True
@@ -164,5 +164,5 @@
 
 
 def has_body(method: str, status: int) -> bool:
-    """Tell whether an answer may have a body (RFC 9110, section 6.4.1)."""
+    """Return whether an answer may have a body (RFC 9110, section 6.4.1)."""
     return method != "HEAD" and status not in (NO_CONTENT, NOT_MODIFIED)
--- a/azurestep/traffic/call.py
+++ b/azurestep/traffic/call.py
@@ -1,4 +1,4 @@
-"""A request on its way through the node."""
+"""A caller's request while the node processes it."""
 
 from collections.abc import AsyncIterable
 
@@ -22,34 +22,34 @@
 
 @attrs.define
 class Call:
-    """A request together with what was decided about it.
+    """A request with its route and its state.
 
     Attributes
     ----------
     method, target : str
-        Method, and path with query as the caller wrote it.
+        Method, and path with query as the caller sent it.
     fields : CIMultiDict
         Headers as the caller sent them.
     table : RoutingTable
-        Table that the request began with.
+        Routing table at the arrival of the request.
     match : Match
         Route and service.
     budget : DeadlineBudget
-        Time and depth at arrival.
+        Remaining time and depth at arrival.
     arrived_ms : float
         Monotonic time of arrival.
     body : bytes
         Whole body of the request, empty for none.
     tried : list of EndpointKey
-        Backend servers that attempts went to.
+        Backend servers of the attempts so far.
     is_resend : bool
-        Whether the caller says that it sent the request before.
+        Whether the caller marked the request as sent again.
     stream : AsyncIterable of bytes or None
-        Body of a request too large to be kept; it can be sent only once.
+        Body of a request too large to be buffered; it can be sent only once.
     is_suspect : bool
         Whether the quarantine suspects the request.
     is_draining : bool
-        Whether the answer asks the caller to open another connection.
+        Whether the answer closes the caller's connection.
     may_have_run : bool
         Whether a backend server may have run the request.
     waited_ms : float
@@ -75,7 +75,7 @@
 
     @property
     def fingerprint(self) -> int:
-        """Fingerprint that tells the same request sent again."""
+        """Fingerprint, equal for the same request sent again."""
         if self._fingerprint is None:
             prefix = self.body[:BODY_PREFIX_BYTES]
             route = self.match.route.name
@@ -84,34 +84,34 @@
 
     @property
     def deadline_ms(self) -> float:
-        """Monotonic time at which the caller gives up."""
+        """Monotonic time of the caller's deadline."""
         return self.arrived_ms + self.budget.remaining_ms
 
     def remaining_ms(self, now_ms: float) -> float:
-        """Return the time left."""
+        """Return the time until the deadline."""
         return self.deadline_ms - now_ms
 
 
 def read_host(request: web.BaseRequest) -> str:
-    """Return the host that the caller asked for, without the port."""
+    """Return the host of a request, without the port."""
     return (request.host or "").partition(PORT_SEPARATOR)[0]
 
 
 def read_budget(request: web.BaseRequest, match: Match) -> DeadlineBudget:
-    """Return the time and depth of a request at its arrival."""
+    """Return the remaining time and depth of a request on its arrival."""
     remaining_ms = _parse_number(request.headers.get(headers.DEADLINE_MS))
     depth = _parse_number(request.headers.get(headers.DEPTH))
     return limit_budget(remaining_ms, int(depth or 0), match.timeout_ms)
 
 
 def is_resend(request: web.BaseRequest) -> bool:
-    """Tell whether the caller says that it sent the request before."""
+    """Return whether the caller marked the request as sent again."""
     attempt = _parse_number(request.headers.get(headers.ATTEMPT))
     return attempt is not None and attempt > 1
 
 
 def read_target(request: web.BaseRequest) -> str:
-    """Return path and query as the caller wrote them, in origin form."""
+    """Return the request target as the caller sent it, in origin form."""
     target = request.raw_path
     if target.startswith("/") or target == "*":
         return target
--- a/azurestep/traffic/caller_answer.py
+++ b/azurestep/traffic/caller_answer.py
@@ -1,4 +1,4 @@
-"""Answers that go to a caller."""
+"""Answers of backend servers in the form sent to callers."""
 
 from collections.abc import Callable, Iterable
 
@@ -13,12 +13,12 @@
 
 
 class WholeAnswer(web.Response):
-    """An answer whose body is here; it tells when it was written."""
+    """An answer with its whole body; it calls ``on_written`` once written."""
 
     on_written: WrittenCallback | None = None
 
     async def write_eof(self, data: bytes = b"") -> None:
-        """Write head and body."""
+        """Write head and body, then call ``on_written``."""
         await super().write_eof(data)
         if self.on_written is not None:
             self.on_written()
@@ -26,16 +26,16 @@
 
 
 class CloseDelimitedAnswer(web.StreamResponse):
-    """An answer whose body ends with the connection.
+    """An answer whose body is delimited by the close of the connection.
 
-    Such an end can't be told from a cut, so it isn't passed on as a marked end.
+    Such an end may be a truncation, so it isn't passed on as a marked end.
     """
 
     _length_check = False
 
 
 def make_streamed_answer(answer: BackendAnswer, is_final: bool) -> web.StreamResponse:
-    """Return the head of an answer whose body is passed on as it comes."""
+    """Return an answer whose body is streamed."""
     fields = end_to_end_headers(answer.headers)
     if is_final:
         fields[headers.RETRIED] = headers.RETRIED_FINAL
@@ -70,7 +70,7 @@
 def end_to_end_headers(
     fields: "CIMultiDictProxy[str] | CIMultiDict[str]", dropped: Iterable[str] = ()
 ) -> "CIMultiDict[str]":
-    """Return the headers that are not the connection's own."""
+    """Return the headers without the hop-by-hop ones (RFC 9110, section 7.6.1)."""
     skipped = headers.HOP_BY_HOP.union(dropped)
     if "Connection" in fields:
         skipped = skipped | connection_options(fields.getall("Connection"))
--- a/azurestep/traffic/caller_connection.py
+++ b/azurestep/traffic/caller_connection.py
@@ -1,10 +1,10 @@
-"""A caller's connection, as far as a stop must know it."""
+"""State of a caller's connection that a graceful shutdown depends on."""
 
 from aiohttp.web_protocol import RequestHandler
 
 
 def has_pipelined_request(connection: RequestHandler) -> bool:
-    """Return whether a request was read behind the one that is being answered.
+    """Return whether another request follows the one that is being answered.
 
     An answer that closes the connection would drop it.
     """
@@ -12,6 +12,6 @@
 
 
 def has_unsent_bytes(connection: RequestHandler) -> bool:
-    """Return whether bytes of an answer wait for the caller to take them."""
+    """Return whether bytes of an answer are still in the write buffer."""
     transport = connection.transport
     return transport is not None and transport.get_write_buffer_size() > 0
--- a/azurestep/traffic/connection.py
+++ b/azurestep/traffic/connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection to a backend server.
+"""HTTP/1.1 connections to backend servers.
 
-It stands on aiohttp's protocol and parser and leaves out what a relay doesn't
-need of aiohttp's session: cookies, redirects, traces and header objects.
+Based on aiohttp's protocol and parser, without what a proxy doesn't need of its
+session: cookies, redirects, traces and header objects.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
-        Loop of the task that owns the connection.
+        Event loop of the connection.
     opened_ms : float
         Monotonic time at which it was opened.
     """
@@ -46,7 +46,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether it is open and nothing unasked for came in."""
+        """Whether it is open and received nothing unexpected."""
         return self.is_connected() and not self.should_close
 
     async def send(
@@ -78,7 +78,7 @@
             answer = await self._read_head()
         finally:
             if not sending.done():
-                # The answer came before the request's end; the rest is not sent.
+                # The server answered early; don't send the rest of the request.
                 self.force_close()
                 sending.cancel()
             await asyncio.gather(sending, return_exceptions=True)
--- a/azurestep/traffic/connection_pool.py
+++ b/azurestep/traffic/connection_pool.py
@@ -11,14 +11,14 @@
 from .connection import BackendConnection
 
 MAX_IDLE_MS = 5000.0
-# A backend server takes about 130 connections, and many nodes share them.
+# A backend server accepts few connections, and many nodes share them.
 MAX_IDLE_PER_ADDRESS = 4
 MAX_UNACKNOWLEDGED_MS = 5000
 MS_PER_S = 1000
 
 
 class ConnectFailedError(Exception):
-    """No connection could be opened; no byte of a request was sent."""
+    """The connection could not be opened; no byte of the request was sent."""
 
 
 @attrs.define
@@ -28,9 +28,9 @@
     Attributes
     ----------
     idle : list of BackendConnection
-        Those that carry no request, the one used last at the end.
+        Connections without a request, the most recently used one last.
     valid_from_ms : float
-        Connections opened before this time are not used again.
+        Connections opened before this time are not reused.
     """
 
     idle: list[BackendConnection] = attrs.field(factory=list)
@@ -38,7 +38,7 @@
 
 
 class ConnectionPool:
-    """Opens connections and keeps the idle ones, by address."""
+    """Opens connections and keeps idle ones for reuse, by address."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -51,7 +51,7 @@
         return pool
 
     def take_idle(self, address: Address) -> BackendConnection | None:
-        """Return an idle connection, the one used last; None if there is none."""
+        """Return the most recently used idle connection, or None."""
         idle = self._pool(address).idle
         while idle:
             connection = idle.pop()
@@ -66,7 +66,7 @@
         Raises
         ------
         ConnectFailedError
-            If the address refuses or doesn't answer in time.
+            If the connection is refused or times out.
         """
         loop = asyncio.get_running_loop()
         opened_ms = self._clock.monotonic_ms()
@@ -83,7 +83,7 @@
         return connection
 
     def put_back(self, address: Address, connection: BackendConnection) -> None:
-        """Keep a connection whose answer is read for the next request."""
+        """Put a connection back for reuse after its answer was read."""
         pool = self._pool(address)
         is_valid = connection.opened_ms >= pool.valid_from_ms
         if not is_valid or not connection.is_usable:
@@ -95,7 +95,10 @@
             pool.idle.pop(0).close()
 
     def retire(self, address: Address, before_ms: float) -> int:
-        """Stop using connections opened before a time; return the idle ones' count."""
+        """Abort idle connections opened before a time; return their number.
+
+        Those in use are aborted when they are put back.
+        """
         pool = self._pool(address)
         pool.valid_from_ms = max(pool.valid_from_ms, before_ms)
         retired = [c for c in pool.idle if c.opened_ms < before_ms]
@@ -105,11 +108,11 @@
         return len(retired)
 
     def valid_from_ms(self, address: Address) -> float:
-        """Return the time before which connections to an address are retired."""
+        """Return the time before which connections to an address are not reused."""
         return self._pool(address).valid_from_ms
 
     def close_idle(self) -> None:
-        """Close connections that were idle for long."""
+        """Close connections idle for more than ``MAX_IDLE_MS``."""
         oldest_ms = self._clock.monotonic_ms() - MAX_IDLE_MS
         for address, pool in list(self._pools.items()):
             idle = pool.idle
@@ -129,7 +132,7 @@
 
 
 def limit_unacknowledged(transport: asyncio.BaseTransport) -> None:
-    """Let the kernel break a connection whose bytes stay unacknowledged."""
+    """Make the kernel abort the connection if sent bytes stay unacknowledged."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
--- a/azurestep/traffic/directory.py
+++ b/azurestep/traffic/directory.py
@@ -1,4 +1,4 @@
-"""Directory: which backend servers each service has, over all data centres."""
+"""Directory of the backend servers of each service in all data centres."""
 
 from collections.abc import Iterator
 
@@ -18,7 +18,7 @@
 
 
 def endpoint_key(server: ServerState) -> EndpointKey:
-    """Return the identity of one run of a backend server."""
+    """Return the key of one incarnation of a backend server."""
     incarnation = xxhash.xxh3_64_intdigest(server.incarnation.encode())
     return EndpointKey(server.host, server.port, incarnation)
 
@@ -32,7 +32,7 @@
     endpoints : dict of str to tuple of Endpoint
         Endpoints of each service that has any.
     changed : frozenset of str
-        Services whose endpoints differ from the directory before.
+        Services whose endpoints differ from the previous directory.
     """
 
     endpoints: dict[str, tuple[Endpoint, ...]] = attrs.field(factory=dict)
@@ -53,11 +53,10 @@
 
 
 class DirectoryBuilder:
-    """Keeps the backend servers of each service as updates come in.
+    """Builds the directory from updates about members and services.
 
-    Only the services that an update changes are built anew, so that news about
-    one instance costs little among hundreds. It remembers when each endpoint was
-    first seen.
+    Only the services that an update changed are rebuilt, since there may be
+    hundreds of instances.
     """
 
     def __init__(self, data_centre: str) -> None:
@@ -75,7 +74,7 @@
         return bool(self._stale)
 
     def apply(self, update: Update) -> None:
-        """Take the newest update about a member or a service."""
+        """Apply the latest update about a member or a service."""
         key = key_of(update)
         placed = tuple(self._placed_of(update))
         before = self._placed.get(key, ())
@@ -91,7 +90,7 @@
         self._stale |= services
 
     def build(self, now_ms: float) -> Directory:
-        """Return the directory after the updates taken so far."""
+        """Return the directory with the updates applied so far."""
         changed = frozenset(self._stale)
         self._stale.clear()
         endpoints = dict(self._endpoints)
@@ -131,7 +130,7 @@
                 self._first_seen_ms.pop(endpoint.key, None)
 
     def _announced_ms(self, now_ms: float) -> float:
-        # A node that just started can't tell new backend servers from old ones.
+        # Right after its start the node can't know which servers are new.
         return now_ms if self._has_started else float("-inf")
 
     def _placed_of(self, update: Update) -> Iterator[PlacedServer]:
--- a/azurestep/traffic/forward.py
+++ b/azurestep/traffic/forward.py
@@ -1,4 +1,4 @@
-"""Stages of a request after its match: admit, send, relay, and again."""
+"""Attempts at a request: admit, send, relay and retry."""
 
 import asyncio
 from collections.abc import Callable
@@ -41,7 +41,7 @@
 
 @attrs.define
 class SentAttempt:
-    """An attempt that was sent, with its ticket."""
+    """A sent attempt with its ticket."""
 
     pool: ServicePool
     ticket: Ticket
@@ -50,7 +50,7 @@
 
 
 class Forwarder:
-    """Sends a request to backend servers until one answers or none may follow.
+    """Sends a request to backend servers until one answers or no retry is allowed.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
     clock : Clock
         Source of time.
     latency : AddedLatency
-        Where the added time is noted.
+        Histogram of the time that the node adds.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
     async def run(
         self, pool: ServicePool, request: web.BaseRequest | None, call: Call
     ) -> web.StreamResponse | Refusal:
-        """Return the answer or the reason for which there is none."""
+        """Return the answer to a call, or a refusal."""
         refusal = self.find_refusal(pool, call)
         while refusal is None:
             sent = await self.send_attempt(pool, call)
@@ -90,7 +90,7 @@
         return refusal
 
     def find_refusal(self, pool: ServicePool, call: Call) -> Refusal | None:
-        """Return the refusal of a resend over budget or of a quarantined call."""
+        """Return the refusal of a call over the retry budget or in quarantine."""
         now_ms = self._clock.monotonic_ms()
         if call.is_resend and not pool.retry_budget.spend(now_ms):
             refusal_reason = RefusalReason.RETRY_BUDGET
@@ -115,7 +115,7 @@
     async def send_attempt(
         self, pool: ServicePool, call: Call
     ) -> SentAttempt | Refusal:
-        """Send one attempt as soon as a backend server has a free slot."""
+        """Wait for a free slot and send one attempt."""
         now_ms = self._clock.monotonic_ms()
         avoid = tuple(call.tried)
         if call.is_suspect:
@@ -171,7 +171,7 @@
             pool.record_end(call.fingerprint, endpoint.key, is_answered, now_ms)
 
     def _decide(self, call: Call, sent: SentAttempt) -> Retry | GiveUp | None:
-        """Return what follows a failed attempt; None after a good answer."""
+        """Return the decision after a failed attempt; None if it didn't fail."""
         attempt = sent.attempt
         kind = attempt.kind
         if kind is OutcomeKind.SUCCESS or _is_request_error(attempt):
@@ -197,7 +197,7 @@
         return decision
 
     def finish(self, sent: SentAttempt, kind: OutcomeKind) -> None:
-        """End an attempt: free its slot and its connection."""
+        """Release the slot and the connection of an attempt."""
         if sent.attempt.response is not None:
             sent.attempt.response.release()
         outcome = Outcome(kind, sent.attempt.latency_ms)
@@ -243,8 +243,7 @@
             self.finish(current, OutcomeKind.CANCELLED)
             raise
         kind = OUTCOME_BY_RELAY_END.get(relay.end, current.attempt.kind)
-        # A whole answer is written in this same step of the loop, and what is
-        # learned from the attempt can wait for that.
+        # Runs after a whole answer is written, to keep it off the request's path.
         asyncio.get_running_loop().call_soon(self.finish, current, kind)
         return answer
 
@@ -255,7 +254,7 @@
         if not pool.retry_budget.spend(now_ms):
             return None
         timeout_ms = call.match.timeout_ms
-        # The body may take longer than its head was allowed to.
+        # A resumption gets the full timeout again: bodies may outlast the deadline.
         rest = attrs.evolve(
             call,
             arrived_ms=now_ms,
@@ -296,7 +295,7 @@
 
 
 def _is_request_error(attempt: Attempt) -> bool:
-    """Tell whether an error is the request's own, alike at every server."""
+    """Return whether an error answer would be the same at every backend server."""
     if attempt.kind is not OutcomeKind.ERROR or attempt.response is None:
         return False
     return attempt.response.status not in RETRYABLE_STATUSES
--- a/azurestep/traffic/headers.py
+++ b/azurestep/traffic/headers.py
@@ -1,4 +1,4 @@
-"""Names of HTTP headers that nodes read and write."""
+"""Names of HTTP headers."""
 
 IDEMPOTENCY_KEY = "Idempotency-Key"
 DEADLINE_MS = "Azurestep-Deadline-Ms"
@@ -18,7 +18,7 @@
 
 RETRIED_FINAL = "final"
 
-# RFC 9110, section 7.6.1; the connection's own headers are not passed on.
+# Headers that a proxy must not forward (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         "connection",
--- a/azurestep/traffic/hedge.py
+++ b/azurestep/traffic/hedge.py
@@ -1,4 +1,4 @@
-"""A second try of a request on a new connection to the same backend server."""
+"""Hedged requests: a second attempt on a new connection to the same server."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,12 +14,12 @@
 
 
 class SupersededError(Exception):
-    """The answer came on the new connection first."""
+    """The new connection answered before the pooled one."""
 
 
 @attrs.frozen
 class ExchangeResult:
-    """Head of an answer, and the connection and time of its request."""
+    """Head of an answer, with connection and time of its request."""
 
     head: Head
     connection: BackendConnection
@@ -28,18 +28,16 @@
 
 
 class Hedge:
-    """Watches a pooled connection and asks again on a new one when it is silent.
-
-    It costs a timer only until the bound passes.
+    """Sends a request on a new connection if a pooled one is unresponsive.
 
     Parameters
     ----------
     pooled : BackendConnection
         The pooled connection.
     delay_ms : float
-        Time without a first byte after which it is doubted.
+        Time without a first byte after which the request is hedged.
     may_hedge : callable
-        Asks the budget; a denied hedge is asked for again after the bound.
+        Returns whether a hedge is allowed; called again after each delay.
     exchange : callable
         Sends the request on a new connection.
     """
@@ -74,7 +72,7 @@
         self._pooled.set_exception(SupersededError())
 
     async def result_after_failure(self) -> ExchangeResult | None:
-        """Return the new connection's answer once the pooled one has failed."""
+        """Return the answer of the new connection after the pooled one failed."""
         if self._task is not None:
             await self._task
         result = self._result
@@ -82,7 +80,7 @@
         return result
 
     async def end(self) -> None:
-        """Stop watching; a second request still on its way is broken off."""
+        """Cancel the timer and any second request in flight."""
         self._timer.cancel()
         task = self._task
         if task is None:
--- a/azurestep/traffic/hedge_policy.py
+++ b/azurestep/traffic/hedge_policy.py
@@ -1,9 +1,9 @@
-"""When to doubt a pooled connection: pure decisions about first-byte times.
+"""Hedging delay and hedging budget.
 
-A connection that went silent looks like a slow backend server. The bound
-follows the route's own first-byte times, as a TCP retransmission timer does
-(RFC 6298), and the number of doubts is limited, so that a service that became
-slow for all isn't asked everything twice.
+An unresponsive connection looks like a slow backend server. The delay follows the
+first-byte times of the route, like a TCP retransmission timer (RFC 6298), and a
+budget limits the hedges, so that a service that became slow doesn't get every
+request twice.
 """
 
 import attrs
@@ -26,7 +26,7 @@
     mean_ms, deviation_ms : float
         Smoothed mean, and smoothed absolute deviation from it.
     is_empty : bool
-        Whether no answer was seen.
+        Whether no answer was recorded.
     """
 
     mean_ms: float = 0.0
@@ -34,7 +34,7 @@
     is_empty: bool = True
 
     def add(self, latency_ms: float) -> None:
-        """Take the time of one answer into account."""
+        """Record the first-byte time of one answer."""
         if self.is_empty:
             self.is_empty = False
             self.mean_ms = latency_ms
@@ -45,7 +45,7 @@
         self.mean_ms += MEAN_GAIN * (latency_ms - self.mean_ms)
 
     def hedge_delay_ms(self) -> float:
-        """Return the time after which a pooled connection is doubted.
+        """Return the time without a first byte after which a request is hedged.
 
         Examples
         --------
@@ -64,22 +64,22 @@
 
 @attrs.define
 class HedgeBudget:
-    """Token bucket that bounds the requests sent twice.
+    """Token bucket that limits the hedged requests of one service.
 
     Attributes
     ----------
     tokens : float
-        Hedges allowed now; each request adds a small share.
+        Hedges allowed now.
     """
 
     tokens: float = MAX_TOKENS
 
     def earn(self) -> None:
-        """Add the share of one request."""
+        """Add the tokens of one request."""
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
     def spend(self) -> bool:
-        """Take one hedge out of the bucket; return whether there was one."""
+        """Spend one token on a hedge; return whether there was one."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/azurestep/traffic/latency.py
+++ b/azurestep/traffic/latency.py
@@ -1,4 +1,4 @@
-"""Time that the node adds to a request."""
+"""Latency that the node adds to requests."""
 
 import attrs
 from hdrh.histogram import HdrHistogram
@@ -12,17 +12,16 @@
 
 @attrs.frozen
 class LatencySummary:
-    """Added time of the requests since the start.
+    """Latency that the node added since its start.
 
     Attributes
     ----------
     count : int
         Requests counted.
     mean_ms, p50_ms, p90_ms, p99_ms, p999_ms, max_ms : float
-        Time from the request's arrival until its bytes were written to the
-        backend server, plus from the answer's first byte until its head was
-        written to the caller. Waiting for the caller's body and for a slot
-        isn't counted.
+        Time from the arrival of the request until it was written to the backend
+        server, plus the time from the first byte of the answer until its head was
+        written to the caller, without waits for the caller's body or for a slot.
     """
 
     count: int
@@ -35,20 +34,20 @@
 
 
 class AddedLatency:
-    """Histogram of the added time; filled in batches, off the request's path."""
+    """Histogram of the added latency, filled in batches."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
         self._pending_ms: list[float] = []
 
     def add(self, added_ms: float) -> None:
-        """Note the added time of one request."""
+        """Record the added latency of one request."""
         self._pending_ms.append(added_ms)
         if len(self._pending_ms) >= MAX_PENDING:
             self.flush()
 
     def flush(self) -> None:
-        """Move what was noted into the histogram."""
+        """Move the pending values into the histogram."""
         pending = self._pending_ms
         self._pending_ms = []
         for added_ms in pending:
@@ -56,7 +55,7 @@
             self._histogram.record_value(min(value, MAX_US))
 
     def summary(self) -> LatencySummary:
-        """Return the distribution so far."""
+        """Return the distribution since the start."""
         self.flush()
         histogram = self._histogram
 
--- a/azurestep/traffic/once_answers.py
+++ b/azurestep/traffic/once_answers.py
@@ -1,4 +1,4 @@
-"""HTTP answers to requests that must not repeat."""
+"""HTTP answers to requests that run at most once."""
 
 import math
 
@@ -22,7 +22,7 @@
 
 
 def make_http_answer(answer: AnswerCaller) -> web.Response:
-    """Return the HTTP answer that says what became of a request."""
+    """Return the HTTP answer for the outcome of a request."""
     fields: CIMultiDict[str] = CIMultiDict()
     fields[headers.OUTCOME] = answer.outcome.value
     fields[headers.IDEMPOTENCY_KEY] = answer.key
--- a/azurestep/traffic/packed_call.py
+++ b/azurestep/traffic/packed_call.py
@@ -1,4 +1,4 @@
-"""Calls that travel from the accepting node to the owner of their key."""
+"""Calls in the form sent from the accepting node to the owner of their key."""
 
 import hashlib
 
@@ -16,7 +16,7 @@
 
 
 def request_digest(call: Call) -> str:
-    """Return a digest that tells two requests with one key apart."""
+    """Return a digest that distinguishes requests with the same key."""
     digest = hashlib.blake2b(digest_size=HASH_SIZE_BYTES)
     digest.update(f"{call.method} {call.target}\n".encode())
     digest.update(call.body)
@@ -24,7 +24,7 @@
 
 
 def pack_call(call: Call, key: str) -> PackedCall:
-    """Return a call in the form that travels between nodes."""
+    """Return a call in the form sent between nodes."""
     fields = [
         Header(name, value)
         for name, value in call.fields.items()
@@ -41,7 +41,7 @@
     remaining_ms: float,
     now_ms: float,
 ) -> Call | None:
-    """Return the call at the owner, matched by the owner's own table.
+    """Return the call, matched by the owner's routing table.
 
     Returns
     -------
--- a/azurestep/traffic/pool.py
+++ b/azurestep/traffic/pool.py
@@ -1,4 +1,4 @@
-"""Admission of one service as an awaitable, with its budget and quarantine."""
+"""Awaitable admission to one service, with its retry budget and quarantine."""
 
 import asyncio
 import random
@@ -33,14 +33,14 @@
 
 @attrs.frozen
 class QuarantineReport:
-    """What this node learned about requests that crash backend servers.
+    """Requests that crash backend servers, as reported to peers.
 
     Attributes
     ----------
     service : str
-        Service that the requests went to.
+        Service of the requests.
     updates : list of QuarantineUpdate
-        What the other nodes should know.
+        Fingerprints and deaths.
     """
 
     service: str
@@ -51,7 +51,7 @@
 
 
 class ServicePool:
-    """Backend servers of one service as a task sees them.
+    """Pool of the backend servers of one service.
 
     Parameters
     ----------
@@ -62,9 +62,9 @@
     data_centre, instance : str
         Where this node runs.
     source : random.Random
-        Source of random choices.
+        Random number generator.
     on_report : callable
-        Told what was learned about requests that crash backend servers.
+        Called with each report on requests that crash backend servers.
     """
 
     def __init__(
@@ -87,19 +87,19 @@
         self._waiting: dict[Ticket, asyncio.Future[Granted | Dropped]] = {}
 
     def configure(self, service: Service, shares: ClassShares, now_ms: float) -> None:
-        """Take over the rules of another version or preset."""
+        """Apply the rules of another configuration version or preset."""
         self._service = service
         self.retry_budget.ratio = service.retry.budget_ratio
         self.resolve_waiting(self.admission.configure(service, shares, now_ms))
 
     def replace_endpoints(self, endpoints: tuple[Endpoint, ...], now_ms: float) -> None:
-        """Take over the present list of backend servers."""
+        """Replace the backend servers of the service."""
         self._record_replaced(endpoints, now_ms)
         self.endpoints = endpoints
         self.resolve_waiting(self.admission.replace_endpoints(endpoints, now_ms))
 
     def _record_replaced(self, endpoints: tuple[Endpoint, ...], now_ms: float) -> None:
-        """Count those as dead whose address another run has taken over."""
+        """Record backend servers as dead whose address has another incarnation."""
         keys_by_address = {(e.key.host, e.key.port): e.key for e in endpoints}
         for previous in self.endpoints:
             key = previous.key
@@ -110,7 +110,7 @@
     async def handle_lost_connection(
         self, fingerprint: int, endpoint: Endpoint, probe: Probe, now_ms: float
     ) -> None:
-        """Find out whether a backend server died as its connection was lost."""
+        """Probe a backend server whose connection was lost; record its death."""
         key = endpoint.key
         self.quarantine.record_loss(fingerprint, key, now_ms)
         if key in self._dead:
@@ -129,20 +129,20 @@
             self._on_report(QuarantineReport(self._service.name, updates))
 
     def has_died(self, key: EndpointKey) -> bool:
-        """Return whether a backend server whose connection was lost is dead."""
+        """Return whether a backend server is recorded as dead."""
         return key in self._dead
 
     def record_end(
         self, fingerprint: int, key: EndpointKey, is_answered: bool, now_ms: float
     ) -> None:
-        """Tell the quarantine how an attempt ended."""
+        """Record the end of an attempt in the quarantine."""
         if is_answered:
             self.quarantine.record_answer(fingerprint, key, now_ms)
         else:
             self.quarantine.record_end(fingerprint, key)
 
     async def acquire(self, request: RequestArrived) -> Admitted | Refused:
-        """Return a backend server for a request, waiting in the queue if needed."""
+        """Return a backend server for a request, waiting in the queue if necessary."""
         decision = self.admission.request(request)
         if not isinstance(decision, Queued):
             return decision
@@ -175,16 +175,16 @@
             self.resolve_waiting(self.admission.cancel(ticket, now_ms))
 
     def finish(self, ticket: Ticket, outcome: Outcome, now_ms: float) -> None:
-        """End an attempt and wake who can go on."""
+        """End an attempt and grant its slot to a queued request."""
         self.resolve_waiting(self.admission.finish(ticket, outcome, now_ms))
 
     def tick(self, now_ms: float) -> None:
-        """Drop waiting requests whose time is over."""
+        """Drop expired queued requests."""
         if self._waiting:
             self.resolve_waiting(self.admission.tick(now_ms))
 
     def resolve_waiting(self, releases: list[Release]) -> None:
-        """Hand releases to the tasks that wait for them."""
+        """Set the result of the tasks that wait for these releases."""
         for release in releases:
             future = self._waiting.pop(release.ticket, None)
             if future is not None and not future.done():
--- a/azurestep/traffic/proxy.py
+++ b/azurestep/traffic/proxy.py
@@ -1,7 +1,7 @@
-"""The proxy: takes a caller's request through the stages to its answer.
+"""The proxy: serves a caller's request.
 
-Stages: match the route, read the body, admit, send, relay. Each stage takes the
-call and returns the next thing or a refusal.
+Stages: match the route, read the body, admit, send, relay. A stage may end the
+request with a refusal.
 """
 
 import asyncio
@@ -40,15 +40,17 @@
 
 
 class Proxy:
-    """Serves callers with the routing table and the directory of the moment.
+    """Serves callers with the current routing table and directory.
 
     Attributes
     ----------
     on_quarantine_report : callable
-        Told what this node learned about requests that crash backend servers,
-        so that the other nodes can be told.
+        Called with each report on requests that crash backend servers; it sends
+        the report to peers.
     ready : asyncio.Event
-        Set once requests needn't wait for a table and the directory any more.
+        Set once requests no longer wait for the routing table and the directory.
+    once_handler : callable or None
+        Serves requests that must run at most once; None serves them as others.
     """
 
     def __init__(
@@ -75,12 +77,12 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that have no whole answer yet, also those run for peers."""
+        """Requests without a whole answer, including those run for peers."""
         return len(self._in_flight_requests)
 
     @property
     def table(self) -> RoutingTable | None:
-        """The table in force."""
+        """The current routing table."""
         return self._table
 
     @property
@@ -89,30 +91,30 @@
         return bool(self._directory.endpoints)
 
     def has_all_endpoints(self) -> bool:
-        """Whether every service of the table has a backend server."""
+        """Return whether every service of the routing table has a backend server."""
         if self._table is None:
             return False
         return all(self._directory.endpoints_of(name) for name in self._table.services)
 
     def latency_summary(self) -> LatencySummary:
-        """Return the distribution of the time that this node adds."""
+        """Return the distribution of the latency that this node adds."""
         return self._latency.summary()
 
     def drain(self) -> None:
-        """Ask the callers to go elsewhere: each answer closes its connection."""
+        """Close the caller's connection after each answer from now on."""
         self._is_draining = True
 
     def close(self) -> None:
-        """Refuse every request that comes from now on, as not run."""
+        """Refuse new requests as not run."""
         self._is_draining = self._is_closed = True
 
     def end_requests(self) -> int:
-        """Bring all requests to a final answer; return how many there were."""
+        """End all requests in flight with a refusal; return their number."""
         self.close()
         return self._in_flight_requests.end_requests()
 
     def swap_table(self, table: RoutingTable) -> None:
-        """Put a whole new table in force by one assignment."""
+        """Replace the routing table; requests in flight keep theirs."""
         now_ms = self._clock.monotonic_ms()
         for name, service in table.services.items():
             pool = self._pools.get(name)
@@ -138,34 +140,34 @@
         self.on_quarantine_report(report)
 
     def swap_directory(self, directory: Directory) -> None:
-        """Take over the present backend servers of every service."""
+        """Replace the directory and update the pools of changed services."""
         now_ms = self._clock.monotonic_ms()
         self._directory = directory
         for name in directory.changed & self._pools.keys():
             self._pools[name].replace_endpoints(directory.endpoints_of(name), now_ms)
 
     def merge_quarantine(self, report: QuarantineReport) -> None:
-        """Take over what another node learned."""
+        """Merge a peer's quarantine report."""
         pool = self._pools.get(report.service)
         if pool is not None:
             now_ms = self._clock.monotonic_ms()
             pool.quarantine.merge(report.updates, now_ms, len(pool.endpoints))
 
     def report_load(self, service: str, report: LoadReport) -> None:
-        """Take a backend server's own word as a hint."""
+        """Apply a backend server's load report."""
         pool = self._pools.get(service)
         if pool is not None:
             pool.admission.report(report)
 
     def tick(self) -> None:
-        """Drop waiting requests whose time is over."""
+        """Drop expired queued requests and flush the latency histogram."""
         now_ms = self._clock.monotonic_ms()
         self._latency.flush()
         for pool in self._pools.values():
             pool.tick(now_ms)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request of a caller."""
         result = STOPPING if self._is_closed else await self._serve_until_ended(request)
         response = make_answer(result) if isinstance(result, Refusal) else result
         if (
@@ -215,7 +217,7 @@
         return await self.run(request, call)
 
     async def run_single(self, call: Call) -> RunResult:
-        """Run a request that must not repeat, once."""
+        """Run a request that must run at most once."""
         pool = self._pools[call.match.service.name]
         entry = InFlightRequest(call=call, is_owner_run=True)
         try:
@@ -274,15 +276,15 @@
     async def run(
         self, request: web.BaseRequest | None, call: Call
     ) -> web.StreamResponse | Refusal:
-        """Send attempts until one is answered or none may follow.
+        """Send attempts until one is answered or no retry is allowed.
 
         Parameters
         ----------
         request : web.BaseRequest or None
-            Where a large answer is written as it comes; None returns every
-            answer whole, as a ``web.Response``.
+            Request whose connection large answers are streamed to; None returns
+            every answer whole, as a ``web.Response``.
         call : Call
-            What to send.
+            The call to send.
         """
         pool = self._pools[call.match.service.name]
         return await self._forwarder.run(pool, request, call)
--- a/azurestep/traffic/relay.py
+++ b/azurestep/traffic/relay.py
@@ -39,12 +39,12 @@
 
 
 class CallerDisconnectedError(Exception):
-    """The caller's connection is lost or takes no bytes."""
+    """The caller's connection is lost or accepts no bytes."""
 
 
 @attrs.define
 class Relay:
-    """Passes one answer on.
+    """Relays one answer to the caller.
 
     Attributes
     ----------
@@ -53,19 +53,19 @@
     answer : BackendAnswer
         The answer; a resumption replaces it.
     resume : callable
-        Asks for the rest of a cut body.
+        Requests the rest of a truncated body.
     now_ms : callable
         Monotonic time in milliseconds.
     on_written : callable
-        Told once, when the head or the whole answer was written.
+        Called once, after the head or the whole answer was written.
     is_final : bool
-        Whether the answer tells the hops above not to retry.
+        Whether hops above must not retry.
     delivered_bytes : int
-        Bytes of the present answer that the caller has.
+        Bytes of the current answer sent to the caller.
     resumptions : int
         Resumptions so far.
     end : RelayEnd
-        How it ended.
+        How the relay ended.
     """
 
     call: Call
@@ -79,17 +79,17 @@
     end: RelayEnd = RelayEnd.WHOLE
 
     async def run(self, request: web.BaseRequest | None) -> web.StreamResponse:
-        """Pass the answer on; a body cut for good breaks the caller's connection.
+        """Relay the answer; abort the caller's connection if it stays truncated.
 
         Parameters
         ----------
         request : web.BaseRequest or None
-            Where the answer goes; None returns it whole.
+            Request that the answer is streamed to; None returns the whole answer.
 
         Raises
         ------
         BodyTruncatedError
-            If the body was cut before any byte reached the caller.
+            If the body was truncated before any byte was sent to the caller.
         """
         answer = self.answer
         length = answer.length
@@ -125,7 +125,7 @@
             abort_connection(request)
             return response
         except asyncio.CancelledError:
-            # A last answer written behind half a body would pass for its rest.
+            # A refusal written after part of a body would be read as its rest.
             abort_connection(request)
             raise
         if not is_complete:
@@ -136,7 +136,7 @@
         return response
 
     async def _copy_all(self, response: web.StreamResponse) -> bool:
-        """Copy the body, resuming it where possible; return whether it is whole."""
+        """Copy the body, resuming it if possible; return whether it is whole."""
         while True:
             try:
                 await self._copy(response)
@@ -162,7 +162,7 @@
         answer = self.answer
         span = answer.content_range()
         is_partial = answer.status == PARTIAL_CONTENT
-        # A partial answer in several parts has no one range to go on from.
+        # A multipart partial answer has no single range to resume.
         tag = "" if is_partial and span is None else answer.headers.get("ETag", "")
         return TruncatedAnswer(
             self.call.method == "GET" and self.call.match.idempotent,
@@ -176,7 +176,7 @@
         )
 
     async def _try_resume(self) -> bool:
-        """Replace a cut answer by one that continues it; return whether one did."""
+        """Replace a truncated answer by one with the rest; return whether it worked."""
         requested = decide_resumption(self._describe_truncated())
         if not isinstance(requested, Resume):
             return False
@@ -196,7 +196,7 @@
         async with asyncio.timeout(CALLER_STALL_TIMEOUT_S):
             await response.write(chunk)
     except (OSError, TimeoutError) as error:
-        raise CallerDisconnectedError("the caller takes no bytes") from error
+        raise CallerDisconnectedError("the caller accepts no bytes") from error
 
 
 def _parse_resumed_answer(answer: BackendAnswer) -> ResumedAnswer:
@@ -210,6 +210,6 @@
 
 
 def abort_connection(request: web.BaseRequest) -> None:
-    """Break the connection, so that the caller sees that the body is cut."""
+    """Abort the connection, so that the caller detects the truncated body."""
     if request.transport is not None:
         request.transport.abort()
--- a/azurestep/traffic/request_body.py
+++ b/azurestep/traffic/request_body.py
@@ -9,7 +9,10 @@
 
 
 async def buffer_body(request: web.BaseRequest, call: Call) -> Refusal | None:
-    """Keep the body for retries; one over the bound is streamed, or refused."""
+    """Buffer the body for retries.
+
+    A larger body is streamed if the request is idempotent, and refused otherwise.
+    """
     body = bytearray()
     while chunk := await request.content.readany():
         body += chunk
--- a/azurestep/traffic/request_head.py
+++ b/azurestep/traffic/request_head.py
@@ -1,4 +1,4 @@
-"""Head of a request as it goes to a backend server."""
+"""Head of a request to a backend server."""
 
 from collections.abc import Mapping
 
@@ -26,9 +26,9 @@
     call : Call
         The request.
     budget : DeadlineBudget
-        Time and depth to tell the backend server.
+        Remaining time and depth for the backend server.
     extra : mapping of str to str, optional
-        Headers that replace those of the caller.
+        Headers that replace the caller's.
     """
     skipped = REPLACED_HEADERS
     if CONNECTION in call.fields:
@@ -56,7 +56,7 @@
 
 
 def connection_options(values: list[str]) -> frozenset[str]:
-    """Return the header names that ``Connection`` headers name.
+    """Return the header names listed in ``Connection`` headers.
 
     Examples
     --------
--- a/azurestep/traffic/single_run.py
+++ b/azurestep/traffic/single_run.py
@@ -1,4 +1,4 @@
-"""One run of a request that must not repeat, at one backend server."""
+"""Single run of a request that must run at most once."""
 
 import asyncio
 
@@ -21,14 +21,14 @@
 
 @attrs.frozen
 class RunAnswered:
-    """The backend server gave a whole answer."""
+    """A backend server returned a whole answer."""
 
     answer: KeptAnswer
 
 
 @attrs.frozen
 class RunFailed:
-    """No whole answer came.
+    """No whole answer was received.
 
     Attributes
     ----------
@@ -45,7 +45,7 @@
 async def run_single(
     pool: ServicePool, forwarder: Forwarder, call: Call, clock: Clock
 ) -> RunResult:
-    """Run a call once; go to another backend server only if nothing ran."""
+    """Run a call once; try another backend server only if it did not run."""
     if forwarder.find_refusal(pool, call) is not None:
         return RunFailed(bytes_sent=False)
     for _ in range(call.match.service.retry.max_attempts):
--- a/azurestep/traffic/table.py
+++ b/azurestep/traffic/table.py
@@ -1,7 +1,7 @@
 """Routing table: finds the route of a request.
 
-A table is built aside from a whole configuration and never changes. A request
-keeps the table that it began with.
+A table is built from one configuration version and never changes. A request keeps
+the table that was current on its arrival.
 """
 
 from collections.abc import Iterator, Mapping
@@ -17,16 +17,16 @@
 
 @attrs.frozen
 class Match:
-    """What a request is matched to.
+    """Route and service of a request.
 
     Attributes
     ----------
     route : Route
         The route.
     service : Service
-        The service that the route names, with the preset laid over it.
+        Service of the route, with the active preset applied.
     timeout_ms : int
-        Longest time that the request may take.
+        Maximum time of the request.
     idempotent : bool
         Whether the request may run more than once.
     """
@@ -43,7 +43,7 @@
 
 
 def takes_non_idempotent(route: Route) -> bool:
-    """Tell whether a route takes requests that must not run twice."""
+    """Return whether a route accepts requests that must run at most once."""
     if route.idempotent is not None:
         return not route.idempotent
     return not route.methods or any(
@@ -52,21 +52,21 @@
 
 
 def is_idempotent(route: Route, method: str) -> bool:
-    """Tell whether a request may run more than once."""
+    """Return whether a request may run more than once."""
     if route.idempotent is not None:
         return route.idempotent
     return method in IDEMPOTENT_METHODS
 
 
 class RoutingTable:
-    """Immutable routes of one version, found by host and path.
+    """Immutable routes of one configuration version, by host and path.
 
     Parameters
     ----------
     version : int
         Version of the configuration.
     configuration : Configuration
-        A valid configuration; its active preset is laid over it.
+        A valid configuration; its active preset is applied.
     """
 
     def __init__(self, version: int, configuration: Configuration) -> None:
@@ -87,7 +87,7 @@
 
     @property
     def once_services(self) -> frozenset[str]:
-        """Services that take requests which must not run twice."""
+        """Services that accept requests which must run at most once."""
         return frozenset(
             route.service
             for routes in self._routes.values()
@@ -98,10 +98,10 @@
     def match(
         self, host: str, path: str, method: str, headers: Mapping[str, str]
     ) -> Match | None:
-        """Return the most specific route of a request.
+        """Return the most specific match of a request, or None.
 
-        An exact host goes before any host, then the longest prefix, then the
-        route that asks for more headers and methods.
+        An exact host precedes any host, then the longest prefix, then the route
+        with more headers and methods.
         """
         for key in (host, ANY_HOST):
             for prefix in _prefixes(path):
@@ -121,7 +121,7 @@
 
 
 def _prefixes(path: str) -> Iterator[str]:
-    """Yield the path and its ancestors, the longest first.
+    """Yield the path and its ancestors, longest first.
 
     Examples
     --------
--- a/azurestep/traffic/under_way.py
+++ b/azurestep/traffic/under_way.py
@@ -1,4 +1,4 @@
-"""Requests that have no whole answer yet, and how a stop brings them to one."""
+"""Requests in flight, and their end in a graceful shutdown."""
 
 import asyncio
 
@@ -9,24 +9,24 @@
 
 STOPPING = not_run(503, "stopping", 500.0)
 CALLER_DELAY_S = 0.05
-"""Time between the end of runs and that of callers: a payment that waits for its run
-is told what became of it."""
+"""Time between the end of runs and of callers' requests, so that a payment whose run is
+ended still gets the outcome."""
 
 
 @attrs.define(eq=False)
 class InFlightRequest:
-    """One request on its way.
+    """One request in flight.
 
     Attributes
     ----------
     timeout : asyncio.Timeout
-        Without a time until the node gives the request up.
+        Without a deadline until the shutdown ends the request.
     call : Call or None
         The request, once its route is known.
     is_owner_run : bool
         Whether this is the run of a request that its owner accepted.
     is_at_owner : bool
-        Whether the owner of its key has the request.
+        Whether the request was handed to the owner of its key.
     """
 
     timeout: asyncio.Timeout = attrs.field(factory=lambda: asyncio.timeout(None))
@@ -40,7 +40,7 @@
         return self.is_at_owner or (self.call is not None and self.call.may_have_run)
 
     def final_refusal(self) -> Refusal:
-        """Return the final answer to a request that was given up."""
+        """Return the refusal of a request that the shutdown ended."""
         if not self.may_have_run:
             return STOPPING
         return Refusal(
@@ -49,7 +49,7 @@
 
 
 class InFlightRequests:
-    """All requests on their way."""
+    """All requests in flight."""
 
     def __init__(self) -> None:
         self._requests: set[InFlightRequest] = set()
@@ -58,15 +58,15 @@
         return len(self._requests)
 
     def add(self, request: InFlightRequest) -> None:
-        """Note a request whose limit was entered."""
+        """Add a request whose timeout was entered."""
         self._requests.add(request)
 
     def remove(self, request: InFlightRequest) -> None:
-        """Forget a request that has its answer."""
+        """Remove an answered request."""
         self._requests.discard(request)
 
     def end_requests(self) -> int:
-        """End the time of all requests; return how many there were."""
+        """Expire the timeouts of all requests; return their number."""
         now_s = asyncio.get_running_loop().time()
         for request in self._requests:
             wait_s = 0.0 if request.is_owner_run else CALLER_DELAY_S
--- a/tests/fixtures_traffic.py
+++ b/tests/fixtures_traffic.py
@@ -38,7 +38,7 @@
 
 @attrs.define
 class TrafficRig:
-    """A node's traffic task in front of chosen backend servers."""
+    """A node's traffic service with given backend servers."""
 
     traffic: TrafficService
     endpoints: list[Endpoint] = attrs.Factory(list)
@@ -60,7 +60,7 @@
         self.traffic.inputs.put_nowait(TableReady(table))
 
     def put_ports(self, *ports: int, instance: str = "other") -> None:
-        """Make these ports the service's backend servers."""
+        """Set the service's backend servers to these ports."""
         self.endpoints = [
             Endpoint(
                 EndpointKey("127.0.0.1", port, 1), "catalogue", instance, "dc1", 12
@@ -114,7 +114,7 @@
 class RawServer:
     """A backend server that answers with scripted bytes.
 
-    Each connection takes the next script; ``None`` in a script closes it, a
+    Each connection runs the next script; ``None`` closes the connection, a
     ``float`` waits that many seconds.
     """
 
@@ -182,7 +182,7 @@
 
 @pytest.fixture
 def raw_call() -> RawCall:
-    """Send bytes on a connection of their own; return all that comes back."""
+    """Send bytes on a new connection; return everything received."""
 
     async def call(port: int, request: bytes) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_traffic_answers.py
+++ b/tests/test_traffic_answers.py
@@ -1,4 +1,4 @@
-"""Whole answers: what a caller sees when a backend server's answer goes wrong."""
+"""Answers as a caller receives them: truncation, framing and streaming."""
 
 import asyncio
 import gzip
--- a/tests/test_traffic_last_answers.py
+++ b/tests/test_traffic_last_answers.py
@@ -1,10 +1,4 @@
-"""A node that stops answers what is still under way when its time is over.
-
-A stop waited 30 s for requests in flight, counted the rest as cut, and left them to the
-server's own shutdown, which closes connections without an answer. A request that waited
-for a slot, one at work and a payment at its owner all ended so; the second of two
-requests sent in a row was dropped as soon as the node stopped, however short it was.
-"""
+"""Graceful shutdown: every request in flight is answered before the node exits."""
 
 import asyncio
 import re
@@ -30,7 +24,7 @@
 
 
 class OtherServices:
-    """What a stop asks of a node's other services, done at once."""
+    """A node's other services, which complete each step of a shutdown immediately."""
 
     def __init__(self, last_moment=None):
         self.inputs = asyncio.Queue()
@@ -56,7 +50,7 @@
 
 @pytest_asyncio.fixture
 async def stop_node(monkeypatch):
-    """Stop a node as a signal does, with a short time for what is in flight."""
+    """Shut a node down as a signal does, with a short drain timeout."""
     monkeypatch.setattr(run, "DRAIN_SETTLE_S", 0.0)
     monkeypatch.setattr(run, "LEAVE_SETTLE_S", 0.0)
     monkeypatch.setattr(run, "DRAIN_TIMEOUT_S", 0.6)
@@ -80,7 +74,7 @@
 
 
 def read_outcomes(answer):
-    """Return status and whether it is said that the request has not run."""
+    """Return status and presence of the "not run" header of each answer."""
     heads = re.findall(rb"HTTP/1\.1 (\d+)(.*?)\r\n\r\n", answer, re.DOTALL)
     return [(int(status), b"Azurestep-Not-Run: 1" in rest) for status, rest in heads]
 
@@ -187,10 +181,7 @@
 async def test_the_end_of_an_answer_is_sent_before_the_exit(
     start_backend_server, start_traffic, stop_node, wait_until
 ):
-    """A caller that read slowly lost the last 64 KiB or less of its answer.
-
-    They stood in the process, behind a full send buffer of the kernel, when it ended.
-    """
+    """A slow reader must not lose the bytes in the node's write buffer at its exit."""
     server = await start_backend_server()
     rig = await start_traffic(server.address.port)
     caller = socket.socket()
@@ -208,7 +199,7 @@
     await asyncio.sleep(0.3)
     reading = asyncio.create_task(read_all(caller))
     assert await stopping == 0
-    # What the end of the process does to an open connection.
+    # The exit of the process aborts open connections.
     transport.abort()
     answer = await reading
     caller.close()
@@ -228,14 +219,10 @@
 async def test_connections_in_the_listeners_backlog_are_served(
     start_backend_server, start_traffic
 ):
-    """A stop reset callers whose connections the kernel had taken in its last moment.
-
-    They had sent a whole request each. Seen where another listener was closed in the
-    same way: in 2 of 18 runs of three stops each, 3 requests ended without an answer.
-    """
+    """A closed listener must not reset connections that the kernel already accepted."""
     server = await start_backend_server()
     rig = await start_traffic(server.address.port)
-    # Nothing awaits in between, so the event loop can't accept them before the stop.
+    # Without an await in between, the event loop can't accept them before the stop.
     callers = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(3)]
     for caller in callers:
         caller.sendall(get("/songs", fields="Connection: close\r\n"))
--- a/tests/test_traffic_retries.py
+++ b/tests/test_traffic_retries.py
@@ -1,4 +1,4 @@
-"""Retries, deadlines and quarantine as a caller and a backend server see them."""
+"""Retries, deadlines and quarantine, seen by callers and backend servers."""
 
 import asyncio
 
--- a/tests/test_traffic_silent.py
+++ b/tests/test_traffic_silent.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good while new ones work."""
+"""Connections that become unresponsive while new ones work."""
 
 import asyncio
 import time
@@ -28,7 +28,7 @@
 
 
 async def fill_pool(http, rig, relay):
-    """Leave several idle connections behind and the times learned."""
+    """Fill the pool with idle connections and record first-byte times."""
     url = f"{rig.url}/songs?delay_ms=20"
     await asyncio.gather(*(fetch(http, url) for _ in range(REQUESTS)))
     for _ in range(REQUESTS):
@@ -95,7 +95,7 @@
     first = b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n" + fields + b"\r\n"
     rest = b"HTTP/1.1 206 P\r\nContent-Length: 60000\r\n" + fields
     rest += b"Content-Range: bytes 40000-99999/100000\r\n\r\n" + b"b" * 60_000
-    # The first connection stays open and says nothing more.
+    # The first connection stays open but sends nothing more.
     server = await start_raw_server([first + b"a" * 40_000], [rest])
     rig = await start_traffic(server.port)
     status, body = await fetch(http, f"{rig.url}/songs")
@@ -113,7 +113,7 @@
     for _ in range(4):
         await asyncio.gather(*(fetch(http, slow) for _ in range(10)))
     sent = 4 + 40
-    # Ten tokens at the start; the times learned keep the rest from being hedged.
+    # Ten initial tokens; the recorded times prevent further hedges.
     assert sent <= server.counts.requests <= sent + 12
 
 
--- a/tests/test_traffic_stopping.py
+++ b/tests/test_traffic_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop of a node cuts no request."""
+"""Graceful shutdown of a node, and requests before it is ready."""
 
 import asyncio
 
@@ -107,11 +107,7 @@
 async def test_a_caller_that_disconnects_during_a_probe_frees_its_slot(
     http, start_raw_server, start_traffic, wait_until
 ):
-    """A slot was held for good when its caller left at that moment.
-
-    A backend server's connection is lost, and the node probes its address; the
-    request's ticket was ended only after that.
-    """
+    """A cancelled request must free its slot while a lost connection is probed."""
     server = await start_raw_server([None])
     rig = await start_traffic(server.port)
     proxy = rig.traffic.proxy
