--- a/azurestep/traffic/call.py
+++ b/azurestep/traffic/call.py
@@ -1,4 +1,4 @@
-"""A request on its way through the node."""
+"""A caller's request while the node processes it."""
 
 from collections.abc import AsyncIterable
 
@@ -8,7 +8,7 @@
 
 from ..balancing import (
     BODY_PREFIX_BYTES,
-    Budget,
+    DeadlineBudget,
     EndpointKey,
     fingerprint,
     limit_budget,
@@ -16,40 +16,40 @@
 from . import headers
 from .table import Match, RoutingTable
 
-BODY_KEPT_MAXIMUM_BYTES = 1024 * 1024
-DEFAULT_PORT_SEPARATOR = ":"
+MAX_BUFFERED_BODY_BYTES = 1024 * 1024
+PORT_SEPARATOR = ":"
 
 
 @attrs.define
 class Call:
-    """A request together with what was decided about it.
+    """A request with its route and its state.
 
     Attributes
     ----------
     method, target : str
-        Method, and path with query as the caller wrote it.
+        Method, and path with query as the caller sent it.
     fields : CIMultiDict
         Headers as the caller sent them.
     table : RoutingTable
-        Table that the request began with.
+        Routing table at the arrival of the request.
     match : Match
         Route and service.
-    budget : Budget
-        Time and depth at arrival.
+    budget : DeadlineBudget
+        Remaining time and depth at arrival.
     arrived_ms : float
         Monotonic time of arrival.
     body : bytes
         Whole body of the request, empty for none.
     tried : list of EndpointKey
-        Backend servers that attempts went to.
+        Backend servers of the attempts so far.
     is_resend : bool
-        Whether the caller says that it sent the request before.
+        Whether the caller marked the request as sent again.
     stream : AsyncIterable of bytes or None
-        Body of a request too large to be kept; it can be sent only once.
+        Body of a request too large to be buffered; it can be sent only once.
     is_suspect : bool
         Whether the quarantine suspects the request.
     is_draining : bool
-        Whether the answer asks the caller to open another connection.
+        Whether the answer closes the caller's connection.
     may_have_run : bool
         Whether a backend server may have run the request.
     waited_ms : float
@@ -61,7 +61,7 @@
     fields: "CIMultiDictProxy[str] | CIMultiDict[str]"
     table: RoutingTable
     match: Match
-    budget: Budget
+    budget: DeadlineBudget
     arrived_ms: float
     body: bytes = b""
     tried: list[EndpointKey] = attrs.field(factory=list)
@@ -75,7 +75,7 @@
 
     @property
     def fingerprint(self) -> int:
-        """Fingerprint that tells the same request sent again."""
+        """Fingerprint, equal for the same request sent again."""
         if self._fingerprint is None:
             prefix = self.body[:BODY_PREFIX_BYTES]
             route = self.match.route.name
@@ -84,41 +84,41 @@
 
     @property
     def deadline_ms(self) -> float:
-        """Monotonic time at which the caller gives up."""
+        """Monotonic time of the caller's deadline."""
         return self.arrived_ms + self.budget.remaining_ms
 
     def remaining_ms(self, now_ms: float) -> float:
-        """Return the time left."""
+        """Return the time until the deadline."""
         return self.deadline_ms - now_ms
 
 
-def host_of(request: web.BaseRequest) -> str:
-    """Return the host that the caller asked for, without the port."""
-    return (request.host or "").partition(DEFAULT_PORT_SEPARATOR)[0]
+def read_host(request: web.BaseRequest) -> str:
+    """Return the host of a request, without the port."""
+    return (request.host or "").partition(PORT_SEPARATOR)[0]
 
 
-def budget_of(request: web.BaseRequest, match: Match) -> Budget:
-    """Return the time and depth of a request at its arrival."""
-    remaining_ms = _number(request.headers.get(headers.DEADLINE_MS))
-    depth = _number(request.headers.get(headers.DEPTH))
+def read_budget(request: web.BaseRequest, match: Match) -> DeadlineBudget:
+    """Return the remaining time and depth of a request on its arrival."""
+    remaining_ms = _parse_number(request.headers.get(headers.DEADLINE_MS))
+    depth = _parse_number(request.headers.get(headers.DEPTH))
     return limit_budget(remaining_ms, int(depth or 0), match.timeout_ms)
 
 
 def is_resend(request: web.BaseRequest) -> bool:
-    """Tell whether the caller says that it sent the request before."""
-    attempt = _number(request.headers.get(headers.ATTEMPT))
+    """Return whether the caller marked the request as sent again."""
+    attempt = _parse_number(request.headers.get(headers.ATTEMPT))
     return attempt is not None and attempt > 1
 
 
-def target_of(request: web.BaseRequest) -> str:
-    """Return path and query as the caller wrote them, in origin form."""
+def read_target(request: web.BaseRequest) -> str:
+    """Return the request target as the caller sent it, in origin form."""
     target = request.raw_path
     if target.startswith("/") or target == "*":
         return target
     return request.rel_url.raw_path_qs
 
 
-def _number(text: str | None) -> float | None:
+def _parse_number(text: str | None) -> float | None:
     if text is None:
         return None
     try:
--- a/azurestep/traffic/directory.py
+++ b/azurestep/traffic/directory.py
@@ -1,4 +1,4 @@
-"""Directory: which backend servers each service has, over all data centres."""
+"""Directory of the backend servers of each service in all data centres."""
 
 from collections.abc import Iterator
 
@@ -18,7 +18,7 @@
 
 
 def endpoint_key(server: ServerState) -> EndpointKey:
-    """Return the identity of one run of a backend server."""
+    """Return the key of one incarnation of a backend server."""
     incarnation = xxhash.xxh3_64_intdigest(server.incarnation.encode())
     return EndpointKey(server.host, server.port, incarnation)
 
@@ -32,19 +32,19 @@
     endpoints : dict of str to tuple of Endpoint
         Endpoints of each service that has any.
     changed : frozenset of str
-        Services whose endpoints differ from the directory before.
+        Services whose endpoints differ from the previous directory.
     """
 
     endpoints: dict[str, tuple[Endpoint, ...]] = attrs.field(factory=dict)
     changed: frozenset[str] = frozenset()
 
-    def of(self, service: str) -> tuple[Endpoint, ...]:
+    def endpoints_of(self, service: str) -> tuple[Endpoint, ...]:
         """Return the endpoints of a service."""
         return self.endpoints.get(service, ())
 
 
 @attrs.frozen
-class Placed:
+class PlacedServer:
     """A backend server and where it runs."""
 
     instance: str
@@ -53,17 +53,16 @@
 
 
 class DirectoryBuilder:
-    """Keeps the backend servers of each service as updates come in.
+    """Builds the directory from updates about members and services.
 
-    Only the services that an update changes are built anew, so that news about
-    one instance costs little among hundreds. It remembers when each endpoint was
-    first seen.
+    Only the services that an update changed are rebuilt, since there may be
+    hundreds of instances.
     """
 
     def __init__(self, data_centre: str) -> None:
         self._data_centre = data_centre
-        self._placed: dict[str, tuple[Placed, ...]] = {}
-        self._by_service: dict[str, dict[str, tuple[Placed, ...]]] = {}
+        self._placed: dict[str, tuple[PlacedServer, ...]] = {}
+        self._by_service: dict[str, dict[str, tuple[PlacedServer, ...]]] = {}
         self._stale: set[str] = set()
         self._endpoints: dict[str, tuple[Endpoint, ...]] = {}
         self._first_seen_ms: dict[EndpointKey, float] = {}
@@ -74,8 +73,8 @@
         """Whether an update changed the backend servers of a service."""
         return bool(self._stale)
 
-    def take(self, update: Update) -> None:
-        """Take the newest update about a member or a service."""
+    def apply(self, update: Update) -> None:
+        """Apply the latest update about a member or a service."""
         key = key_of(update)
         placed = tuple(self._placed_of(update))
         before = self._placed.get(key, ())
@@ -84,12 +83,14 @@
         self._placed[key] = placed
         services = {item.server.service for item in (*before, *placed)}
         for service in services:
-            own = tuple(item for item in placed if item.server.service == service)
-            self._by_service.setdefault(service, {})[key] = own
+            of_service = tuple(
+                item for item in placed if item.server.service == service
+            )
+            self._by_service.setdefault(service, {})[key] = of_service
         self._stale |= services
 
     def build(self, now_ms: float) -> Directory:
-        """Return the directory after the updates taken so far."""
+        """Return the directory with the updates applied so far."""
         changed = frozenset(self._stale)
         self._stale.clear()
         endpoints = dict(self._endpoints)
@@ -97,20 +98,20 @@
             endpoints[service] = tuple(
                 self._endpoint_of(placed, now_ms) for placed in self.servers(service)
             )
-            self._forget_gone(service, endpoints[service])
+            self._remove_departed(service, endpoints[service])
         self._endpoints = endpoints
         self._has_started = self._has_started or bool(endpoints)
         return Directory(endpoints, changed)
 
-    def servers(self, service: str) -> Iterator[Placed]:
+    def servers(self, service: str) -> Iterator[PlacedServer]:
         """Yield the backend servers of a service."""
         for placed in self._by_service.get(service, {}).values():
             yield from placed
 
-    def _endpoint_of(self, placed: Placed, now_ms: float) -> Endpoint:
+    def _endpoint_of(self, placed: PlacedServer, now_ms: float) -> Endpoint:
         server = placed.server
         key = endpoint_key(server)
-        since_ms = self._first_seen_ms.setdefault(key, self._announced_ms(now_ms))
+        first_seen_ms = self._first_seen_ms.setdefault(key, self._announced_ms(now_ms))
         is_leaving = server.status == ServerStatus.LEAVING
         return Endpoint(
             key,
@@ -118,26 +119,26 @@
             placed.instance,
             placed.data_centre,
             server.slots,
-            since_ms,
+            first_seen_ms,
             is_leaving,
         )
 
-    def _forget_gone(self, service: str, present: tuple[Endpoint, ...]) -> None:
-        kept = {endpoint.key for endpoint in present}
+    def _remove_departed(self, service: str, current: tuple[Endpoint, ...]) -> None:
+        current_keys = {endpoint.key for endpoint in current}
         for endpoint in self._endpoints.get(service, ()):
-            if endpoint.key not in kept:
+            if endpoint.key not in current_keys:
                 self._first_seen_ms.pop(endpoint.key, None)
 
     def _announced_ms(self, now_ms: float) -> float:
-        # A node that just started can't tell new backend servers from old ones.
+        # Right after its start the node can't know which servers are new.
         return now_ms if self._has_started else float("-inf")
 
-    def _placed_of(self, update: Update) -> Iterator[Placed]:
+    def _placed_of(self, update: Update) -> Iterator[PlacedServer]:
         if isinstance(update, MemberState) and update.status in LIVE:
             for server in update.servers:
-                yield Placed(update.instance, update.data_centre, server)
+                yield PlacedServer(update.instance, update.data_centre, server)
         if isinstance(update, ServiceSummary):
             if update.data_centre == self._data_centre:
                 return
             for server in update.servers:
-                yield Placed(server.instance, update.data_centre, server)
+                yield PlacedServer(server.instance, update.data_centre, server)
--- a/azurestep/traffic/pool.py
+++ b/azurestep/traffic/pool.py
@@ -1,4 +1,4 @@
-"""Admission of one service as an awaitable, with its budget and quarantine."""
+"""Awaitable admission to one service, with its retry budget and quarantine."""
 
 import asyncio
 import random
@@ -26,32 +26,32 @@
 )
 from ..config.model import ClassShares, Service
 
-DEATHS_REMEMBERED = 256
+MAX_DEAD_SERVERS = 256
 
 Probe = Callable[[Endpoint, float], Awaitable[bool]]
 
 
 @attrs.frozen
-class QuarantineNews:
-    """What this node learned about requests that crash backend servers.
+class QuarantineReport:
+    """Requests that crash backend servers, as reported to peers.
 
     Attributes
     ----------
     service : str
-        Service that the requests went to.
+        Service of the requests.
     updates : list of QuarantineUpdate
-        What the other nodes should know.
+        Fingerprints and deaths.
     """
 
     service: str
     updates: list[QuarantineUpdate]
 
 
-NewsListener = Callable[[QuarantineNews], None]
+QuarantineListener = Callable[[QuarantineReport], None]
 
 
 class ServicePool:
-    """Backend servers of one service as a task sees them.
+    """Pool of the backend servers of one service.
 
     Parameters
     ----------
@@ -62,9 +62,9 @@
     data_centre, instance : str
         Where this node runs.
     source : random.Random
-        Source of random choices.
-    on_news : callable
-        Told what was learned about requests that crash backend servers.
+        Random number generator.
+    on_report : callable
+        Called with each report on requests that crash backend servers.
     """
 
     def __init__(
@@ -75,42 +75,42 @@
         instance: str,
         source: random.Random,
         *,
-        on_news: NewsListener,
+        on_report: QuarantineListener,
     ) -> None:
         self.admission = Admission(service, shares, data_centre, instance, source)
-        self.budget = RetryBudget(service.retry.budget_ratio)
+        self.retry_budget = RetryBudget(service.retry.budget_ratio)
         self.quarantine = Quarantine()
         self.endpoints: tuple[Endpoint, ...] = ()
         self._service = service
-        self._on_news = on_news
+        self._on_report = on_report
         self._dead: dict[EndpointKey, None] = {}
         self._waiting: dict[Ticket, asyncio.Future[Granted | Dropped]] = {}
 
     def configure(self, service: Service, shares: ClassShares, now_ms: float) -> None:
-        """Take over the rules of another version or preset."""
+        """Apply the rules of another configuration version or preset."""
         self._service = service
-        self.budget.ratio = service.retry.budget_ratio
-        self.settle(self.admission.configure(service, shares, now_ms))
+        self.retry_budget.ratio = service.retry.budget_ratio
+        self.resolve_waiting(self.admission.configure(service, shares, now_ms))
 
     def replace_endpoints(self, endpoints: tuple[Endpoint, ...], now_ms: float) -> None:
-        """Take over the present list of backend servers."""
-        self._note_replaced(endpoints, now_ms)
+        """Replace the backend servers of the service."""
+        self._record_replaced(endpoints, now_ms)
         self.endpoints = endpoints
-        self.settle(self.admission.replace_endpoints(endpoints, now_ms))
-
-    def _note_replaced(self, endpoints: tuple[Endpoint, ...], now_ms: float) -> None:
-        """Count those as dead whose address another run has taken over."""
-        places = {(e.key.host, e.key.port): e.key for e in endpoints}
-        for former in self.endpoints:
-            key = former.key
-            present = places.get((key.host, key.port), key)
-            if present != key and not former.leaving:
-                self._note_death(key, now_ms)
-
-    async def learn_of_loss(
+        self.resolve_waiting(self.admission.replace_endpoints(endpoints, now_ms))
+
+    def _record_replaced(self, endpoints: tuple[Endpoint, ...], now_ms: float) -> None:
+        """Record backend servers as dead whose address has another incarnation."""
+        keys_by_address = {(e.key.host, e.key.port): e.key for e in endpoints}
+        for previous in self.endpoints:
+            key = previous.key
+            current = keys_by_address.get((key.host, key.port), key)
+            if current != key and not previous.leaving:
+                self._record_death(key, now_ms)
+
+    async def handle_lost_connection(
         self, fingerprint: int, endpoint: Endpoint, probe: Probe, now_ms: float
     ) -> None:
-        """Find out whether a backend server died as its connection was lost."""
+        """Probe a backend server whose connection was lost; record its death."""
         key = endpoint.key
         self.quarantine.record_loss(fingerprint, key, now_ms)
         if key in self._dead:
@@ -118,31 +118,31 @@
         if await probe(endpoint, self._service.connect_timeout_ms):
             self.quarantine.record_alive(key)
         else:
-            self._note_death(key, now_ms)
+            self._record_death(key, now_ms)
 
-    def _note_death(self, key: EndpointKey, now_ms: float) -> None:
+    def _record_death(self, key: EndpointKey, now_ms: float) -> None:
         self._dead[key] = None
-        if len(self._dead) > DEATHS_REMEMBERED:
+        if len(self._dead) > MAX_DEAD_SERVERS:
             del self._dead[next(iter(self._dead))]
         updates = self.quarantine.record_death(key, now_ms, len(self.endpoints))
         if updates:
-            self._on_news(QuarantineNews(self._service.name, updates))
+            self._on_report(QuarantineReport(self._service.name, updates))
 
     def has_died(self, key: EndpointKey) -> bool:
-        """Return whether a backend server whose connection was lost is dead."""
+        """Return whether a backend server is recorded as dead."""
         return key in self._dead
 
-    def note_end(
+    def record_end(
         self, fingerprint: int, key: EndpointKey, is_answered: bool, now_ms: float
     ) -> None:
-        """Tell the quarantine how an attempt ended."""
+        """Record the end of an attempt in the quarantine."""
         if is_answered:
             self.quarantine.record_answer(fingerprint, key, now_ms)
         else:
             self.quarantine.record_end(fingerprint, key)
 
     async def acquire(self, request: RequestArrived) -> Admitted | Refused:
-        """Return a backend server for a request, waiting in the queue if needed."""
+        """Return a backend server for a request, waiting in the queue if necessary."""
         decision = self.admission.request(request)
         if not isinstance(decision, Queued):
             return decision
@@ -155,13 +155,13 @@
             release = await future
         except asyncio.CancelledError:
             self._waiting.pop(ticket, None)
-            self._abandon(ticket, future, request.now_ms)
+            self._cancel(ticket, future, request.now_ms)
             raise
         if isinstance(release, Granted):
             return Admitted(ticket, release.endpoint)
         return Refused(release.reason, release.retry_after_ms)
 
-    def _abandon(
+    def _cancel(
         self,
         ticket: Ticket,
         future: "asyncio.Future[Granted | Dropped]",
@@ -170,21 +170,21 @@
         was_granted = future.done() and not future.cancelled()
         if was_granted and isinstance(future.result(), Granted):
             outcome = Outcome(OutcomeKind.CANCELLED, 0.0)
-            self.settle(self.admission.finished(ticket, outcome, now_ms))
+            self.resolve_waiting(self.admission.finish(ticket, outcome, now_ms))
         else:
-            self.settle(self.admission.cancelled(ticket, now_ms))
+            self.resolve_waiting(self.admission.cancel(ticket, now_ms))
 
     def finish(self, ticket: Ticket, outcome: Outcome, now_ms: float) -> None:
-        """End an attempt and wake who can go on."""
-        self.settle(self.admission.finished(ticket, outcome, now_ms))
+        """End an attempt and grant its slot to a queued request."""
+        self.resolve_waiting(self.admission.finish(ticket, outcome, now_ms))
 
     def tick(self, now_ms: float) -> None:
-        """Drop waiting requests whose time is over."""
+        """Drop expired queued requests."""
         if self._waiting:
-            self.settle(self.admission.tick(now_ms))
+            self.resolve_waiting(self.admission.tick(now_ms))
 
-    def settle(self, releases: list[Release]) -> None:
-        """Hand releases to the tasks that wait for them."""
+    def resolve_waiting(self, releases: list[Release]) -> None:
+        """Set the result of the tasks that wait for these releases."""
         for release in releases:
             future = self._waiting.pop(release.ticket, None)
             if future is not None and not future.done():
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -43,7 +43,7 @@
     writer,
 )
 from azurestep.audit import records as audit
-from azurestep.balancing import Budget, GiveUpReason, RefusalReason
+from azurestep.balancing import DeadlineBudget, GiveUpReason, RefusalReason
 from azurestep.cli.options import AuditQuestion
 from azurestep.config import document as documents
 from azurestep.config import fold_events as folded
@@ -84,7 +84,7 @@
 from azurestep.node.messages import MemberView, NodeStatus
 from azurestep.node.operators import CONVERTER as OPERATOR_CONVERTER
 from azurestep.node.operators import OperatorService
-from azurestep.node.suspects import quarantine_news, suspect_updates
+from azurestep.node.suspects import quarantine_report, suspect_updates
 from azurestep.once import messages as deciding
 from azurestep.once import records as ownership
 from azurestep.once.assignment import preferred_owner
@@ -110,11 +110,11 @@
 from azurestep.traffic import answers as traffic_answers
 from azurestep.traffic import headers as traffic_headers
 from azurestep.traffic.call import Call
-from azurestep.traffic.carried import carry, request_digest
 from azurestep.traffic.directory import endpoint_key
-from azurestep.traffic.once_answers import http_answer
-from azurestep.traffic.pool import QuarantineNews
-from azurestep.traffic.request_head import request_head
+from azurestep.traffic.once_answers import make_http_answer
+from azurestep.traffic.packed_call import pack_call, request_digest
+from azurestep.traffic.pool import QuarantineReport
+from azurestep.traffic.request_head import build_request_head
 from azurestep.traffic.table import RoutingTable
 from bench.fleet import free_ports
 
@@ -451,7 +451,7 @@
     ),
 ]
 KEPT = deciding.KeptAnswer(200, (deciding.Header("ETag", "x"),), b"\xffok", True)
-CARRIED = messages.CarriedCall(
+CARRIED = messages.PackedCall(
     "POST", "/pay?x=1", "pay.example", [deciding.Header("A", "b")], b"\x00body"
 )
 
@@ -726,12 +726,12 @@
 
 
 def test_suspect_requests_as_nodes_of_the_product_tell_them() -> None:
-    news = QuarantineNews("songs", CRASHES)
+    news = QuarantineReport("songs", CRASHES)
     own = UPDATES[0]
     assert isinstance(own, updates.MemberState)
     found = list(suspect_updates(news, own, 7))
     check("suspect_updates", [attrs.astuple(one) for one in found])
-    assert [quarantine_news(one) for one in found] == [news]
+    assert [quarantine_report(one) for one in found] == [news]
 
 
 # Headers, requests and answers
@@ -787,7 +787,7 @@
     fields = CIMultiDict({"Host": "songs.example:80", "X-Kind": "live", "TE": "x"})
     match = table.match("songs.example", "/songs", "POST", fields)
     assert match is not None
-    budget = Budget(600.5, 2)
+    budget = DeadlineBudget(600.5, 2)
     return Call("POST", "/songs?q=a", fields, table, match, budget, 10.0, b"body")
 
 
@@ -796,13 +796,16 @@
 
 def test_request_to_a_backend_server() -> None:
     extra = {traffic_headers.IDEMPOTENCY_KEY: "k"}
-    check("request_head", request_head(sample_call(), Budget(550.5, 3), extra))
+    check(
+        "request_head",
+        build_request_head(sample_call(), DeadlineBudget(550.5, 3), extra),
+    )
     check("call_fingerprint", sample_call().fingerprint)
 
 
 def test_request_carried_to_its_owner() -> None:
     check("request_digest", request_digest(sample_call()))
-    check("carried_call", attrs.astuple(carry(sample_call(), "k")))
+    check("carried_call", attrs.astuple(pack_call(sample_call(), "k")))
 
 
 def test_names_of_headers() -> None:
@@ -850,7 +853,7 @@
 
 
 def test_answers_to_requests_that_must_not_repeat() -> None:
-    found = {name: shown(http_answer(one)) for name, one in once_answers().items()}
+    found = {name: shown(make_http_answer(one)) for name, one in once_answers().items()}
     check("once_answers", found)
 
 
@@ -859,7 +862,7 @@
     may_have_run = traffic_answers.Refusal(
         504, traffic_answers.CallOutcome.MAY_HAVE_RUN, "timeout", None, True
     )
-    found = [traffic_answers.answer_of(one) for one in (not_run, may_have_run)]
+    found = [traffic_answers.make_answer(one) for one in (not_run, may_have_run)]
     check("refusals", [shown(one) for one in found])
 
 
