--- a/azurestep/balancing/deadlines.py
+++ b/azurestep/balancing/deadlines.py
@@ -1,19 +1,19 @@
-"""Deadlines that travel with a request from hop to hop."""
+"""Propagation of deadlines from hop to hop."""
 
 import attrs
 
 HOP_ALLOWANCE_MS = 2.0
-MAXIMUM_DEPTH = 32
+MAX_DEPTH = 32
 
 
 @attrs.frozen
-class Budget:
+class DeadlineBudget:
     """Time that a request has left at a hop.
 
     Attributes
     ----------
     remaining_ms : float
-        Time until the caller gives up, on the clock of nobody: it is relative.
+        Time until the caller's deadline.
     depth : int
         Calls above this one; 0 for the outermost.
     """
@@ -23,51 +23,53 @@
 
     @property
     def expired(self) -> bool:
-        """Whether sending the request would be in vain."""
+        """Whether no time is left."""
         return self.remaining_ms <= 0.0
 
     @property
     def too_deep(self) -> bool:
-        """Whether the calls most likely go round in a circle."""
-        return self.depth > MAXIMUM_DEPTH
+        """Whether the depth suggests a loop of calls."""
+        return self.depth > MAX_DEPTH
 
 
-def limit_budget(remaining_ms: float | None, depth: int, timeout_ms: float) -> Budget:
+def limit_budget(
+    remaining_ms: float | None, depth: int, timeout_ms: float
+) -> DeadlineBudget:
     """Return the budget of a request at its arrival.
 
     Parameters
     ----------
     remaining_ms : float or None
-        What the caller says; None when it says nothing.
+        Remaining time by the caller's header; None without one.
     depth : int
-        Depth that the caller says; 0 when it says nothing.
+        Depth by the caller's header; 0 without one.
     timeout_ms : float
         Timeout of the route or service, an upper bound.
 
     Examples
     --------
     >>> limit_budget(None, 0, 2000.0)
-    Budget(remaining_ms=2000.0, depth=0)
+    DeadlineBudget(remaining_ms=2000.0, depth=0)
     >>> limit_budget(300.0, 2, 2000.0)
-    Budget(remaining_ms=300.0, depth=2)
+    DeadlineBudget(remaining_ms=300.0, depth=2)
     """
     if remaining_ms is None:
-        return Budget(timeout_ms, depth)
-    return Budget(min(remaining_ms, timeout_ms), depth)
+        return DeadlineBudget(timeout_ms, depth)
+    return DeadlineBudget(min(remaining_ms, timeout_ms), depth)
 
 
-def next_budget(
-    budget: Budget, spent_ms: float, allowance_ms: float = HOP_ALLOWANCE_MS
-) -> Budget:
-    """Return what is told to the backend server.
+def reduce_budget(
+    budget: DeadlineBudget, spent_ms: float, allowance_ms: float = HOP_ALLOWANCE_MS
+) -> DeadlineBudget:
+    """Return the budget of the call to the next hop.
 
-    The allowance keeps time for the answer's way back, so that the inner call
-    ends before the outer one gives up.
+    The allowance is time for the answer's return, so that the inner call ends
+    before the outer one times out.
 
     Examples
     --------
-    >>> next_budget(Budget(300.0, 2), 48.0)
-    Budget(remaining_ms=250.0, depth=3)
+    >>> reduce_budget(DeadlineBudget(300.0, 2), 48.0)
+    DeadlineBudget(remaining_ms=250.0, depth=3)
     """
     remaining_ms = budget.remaining_ms - spent_ms - allowance_ms
-    return Budget(remaining_ms, budget.depth + 1)
+    return DeadlineBudget(remaining_ms, budget.depth + 1)
--- a/azurestep/balancing/endpoint_state.py
+++ b/azurestep/balancing/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What this node saw of each backend server, grouped by data centre."""
+"""Statistics of each backend server, grouped by data centre."""
 
 import random
 
@@ -7,17 +7,17 @@
 from .limiter import Limiter
 from .messages import Endpoint, EndpointKey, Outcome, OutcomeKind
 
-SMOOTHING = 0.1
-MINIMUM_WEIGHT = 0.02
-GOOD_SUCCESS = 0.95
-FORGETTING = 0.05
-NOTICEABLE_LATENCY_RATIO = 1.5
+SMOOTHING_GAIN = 0.1
+MIN_WEIGHT = 0.02
+GOOD_SUCCESS_RATIO = 0.95
+PENALTY_DECAY = 0.05
+FASTER_LATENCY_RATIO = 1.5
 LIMIT_KINDS = frozenset({OutcomeKind.SUCCESS, OutcomeKind.TIMEOUT, OutcomeKind.SHED})
 
 
 @attrs.define(eq=False)
 class EndpointState:
-    """Running record of one backend server.
+    """Statistics and state of one backend server.
 
     Attributes
     ----------
@@ -25,43 +25,45 @@
         Directory entry.
     limiter : Limiter
         Concurrency limit of this node at the backend server.
-    outstanding : int
+    in_flight : int
         Attempts in flight from this node.
-    success : float
+    success_ratio : float
         Smoothed share of attempts that succeeded, 0 to 1.
     latency_ms : float
-        Smoothed latency of attempts that were answered.
+        Smoothed latency of successes and timeouts.
     samples : int
-        Attempts since the record began or the last return.
-    failures : int
-        Failures in a row.
+        Attempts since the first one or since the end of the last ejection.
+    consecutive_failures : int
+        Failures since the last success.
     ramp_start_ms : float
-        When its present cold-start ramp began.
+        Start of the slow-start ramp.
     ramp : float
         Progress of the ramp, 0 to 1.
-    hint : float
-        Weight from its own reports, bounded so that it only shifts load.
+    report_weight : float
+        Weight from its load reports; it has a lower bound above 0.
     ejected_until_ms : float
-        End of the present ejection; negative infinity when there is none.
+        End of the ejection; negative infinity if it isn't ejected.
     ejections : int
-        Ejections in the recent past; each doubles the next duration.
-    position : int
-        Index in the pool's list of available ones; -1 when not available.
+        Recent ejections; each doubles the next duration.
+    available_index : int
+        Index in the pool's list of available ones; -1 if not available.
+    weight : float
+        Share of the load that it should get, relative to the others.
     """
 
     endpoint: Endpoint
     limiter: Limiter
-    outstanding: int = 0
-    success: float = 1.0
+    in_flight: int = 0
+    success_ratio: float = 1.0
     latency_ms: float = 0.0
     samples: int = 0
-    failures: int = 0
+    consecutive_failures: int = 0
     ramp_start_ms: float = float("-inf")
     ramp: float = 1.0
-    hint: float = 1.0
+    report_weight: float = 1.0
     ejected_until_ms: float = float("-inf")
     ejections: int = 0
-    position: int = -1
+    available_index: int = -1
     weight: float = 1.0
 
     @property
@@ -75,109 +77,111 @@
         return self.ejected_until_ms != float("-inf")
 
     @property
-    def fit(self) -> bool:
-        """Whether it may get new requests at all."""
+    def eligible(self) -> bool:
+        """Whether it may get new requests: neither leaving nor ejected."""
         return not self.endpoint.leaving and self.ejected_until_ms == float("-inf")
 
     def update_weight(self) -> None:
-        """Recompute the weight from slots, ramp, success and hint."""
-        success = 1.0 if self.success >= GOOD_SUCCESS else self.success
-        share = self.ramp * success * success * self.hint
-        self.weight = self.endpoint.slots * max(MINIMUM_WEIGHT, share)
-
-    def observe(self, outcome: Outcome, now_ms: float) -> None:
-        """Take the outcome of one attempt into account."""
+        """Recompute the weight from slots, ramp, success ratio and load report."""
+        success = (
+            1.0 if self.success_ratio >= GOOD_SUCCESS_RATIO else self.success_ratio
+        )
+        share = self.ramp * success * success * self.report_weight
+        self.weight = self.endpoint.slots * max(MIN_WEIGHT, share)
+
+    def record_outcome(self, outcome: Outcome, now_ms: float) -> None:
+        """Update the statistics with the outcome of one attempt."""
         kind = outcome.kind
         if kind is OutcomeKind.CANCELLED:
             return
         self.samples += 1
         succeeded = kind is OutcomeKind.SUCCESS
-        self.failures = 0 if succeeded else self.failures + 1
-        self.success += SMOOTHING * (succeeded - self.success)
+        self.consecutive_failures = 0 if succeeded else self.consecutive_failures + 1
+        self.success_ratio += SMOOTHING_GAIN * (succeeded - self.success_ratio)
         if succeeded or kind is OutcomeKind.TIMEOUT:
-            self._observe_latency(outcome.latency_ms)
+            self._record_latency(outcome.latency_ms)
         if kind in LIMIT_KINDS:
-            self.limiter.sample(outcome, self.outstanding, now_ms)
+            self.limiter.record(outcome, self.in_flight, now_ms)
         self.update_weight()
 
-    def _observe_latency(self, latency_ms: float) -> None:
+    def _record_latency(self, latency_ms: float) -> None:
         if self.latency_ms == 0.0:
             self.latency_ms = latency_ms
             return
-        self.latency_ms += SMOOTHING * (latency_ms - self.latency_ms)
+        self.latency_ms += SMOOTHING_GAIN * (latency_ms - self.latency_ms)
 
-    def recover(self, usual_latency_ms: float) -> None:
-        """Let an old record fade, once per review.
+    def decay_penalties(self, peer_latency_ms: float) -> None:
+        """Move success ratio and latency back towards normal, once per review.
 
-        A backend server that gets no requests could never clear it.
+        Otherwise a backend server without requests would keep a bad record.
         """
-        self.success += FORGETTING * (1.0 - self.success)
-        if self.latency_ms > usual_latency_ms > 0.0:
-            self.latency_ms += FORGETTING * (usual_latency_ms - self.latency_ms)
+        self.success_ratio += PENALTY_DECAY * (1.0 - self.success_ratio)
+        if self.latency_ms > peer_latency_ms > 0.0:
+            self.latency_ms += PENALTY_DECAY * (peer_latency_ms - self.latency_ms)
 
-    def forget(self) -> None:
-        """Drop what was observed, to judge the backend server anew."""
-        self.success = 1.0
+    def clear(self) -> None:
+        """Clear the statistics."""
+        self.success_ratio = 1.0
         self.latency_ms = 0.0
         self.samples = 0
-        self.failures = 0
+        self.consecutive_failures = 0
 
 
 @attrs.define(eq=False)
-class Pool:
+class DataCentrePool:
     """Backend servers of a service in one data centre.
 
     Attributes
     ----------
     data_centre : str
-        Where they run.
+        Name of the data centre.
     members : list of EndpointState
-        All of them.
+        All backend servers.
     available : list of EndpointState
-        Those that are fit and have a free slot, in no order.
-    in_flight : int
-        Attempts in flight at fit members.
+        Members that are eligible and have a free slot, in no order.
+    total_in_flight : int
+        Attempts in flight at eligible members.
     capacity : float
-        Sum of the limits of the fit members.
+        Sum of the limits of the eligible members.
     """
 
     data_centre: str
     members: list[EndpointState] = attrs.field(factory=list)
     available: list[EndpointState] = attrs.field(factory=list)
-    in_flight: int = 0
+    total_in_flight: int = 0
     capacity: float = 0.0
 
     def rebuild(self) -> None:
-        """Recompute what depends on which members are fit."""
+        """Recompute totals and available members."""
         for state in self.members:
-            state.position = -1
+            state.available_index = -1
         self.available = []
-        fit = [state for state in self.members if state.fit]
-        self.in_flight = sum(state.outstanding for state in fit)
-        self.capacity = sum(state.limiter.limit for state in fit)
-        for state in fit:
-            self.refresh(state)
-
-    def refresh(self, state: EndpointState) -> None:
-        """Add the member to the available ones, or take it away."""
-        free = state.outstanding + 1 <= state.limiter.limit and state.fit
-        if free == (state.position >= 0):
+        eligible = [state for state in self.members if state.eligible]
+        self.total_in_flight = sum(state.in_flight for state in eligible)
+        self.capacity = sum(state.limiter.limit for state in eligible)
+        for state in eligible:
+            self.update_availability(state)
+
+    def update_availability(self, state: EndpointState) -> None:
+        """Add a member to the available ones or remove it."""
+        free = state.in_flight + 1 <= state.limiter.limit and state.eligible
+        if free == (state.available_index >= 0):
             return
         if free:
-            state.position = len(self.available)
+            state.available_index = len(self.available)
             self.available.append(state)
             return
         last = self.available.pop()
         if last is not state:
-            self.available[state.position] = last
-            last.position = state.position
-        state.position = -1
+            self.available[state.available_index] = last
+            last.available_index = state.available_index
+        state.available_index = -1
 
     def utilisation(self) -> float:
         """Return the share of the capacity in use."""
         if self.capacity == 0.0:
             return float("inf")
-        return self.in_flight / self.capacity
+        return self.total_in_flight / self.capacity
 
     def pick(
         self, source: random.Random, avoid: tuple[EndpointKey, ...]
@@ -212,14 +216,14 @@
         second += 1
     one = states[first]
     other = states[second]
-    one_score = (one.outstanding + 1) * other.weight
-    other_score = (other.outstanding + 1) * one.weight
+    one_score = (one.in_flight + 1) * other.weight
+    other_score = (other.in_flight + 1) * one.weight
     if one_score == other_score:
-        return _clearly_quicker(one, other)
+        return _choose_faster(one, other)
     return one if one_score < other_score else other
 
 
-def _clearly_quicker(one: EndpointState, other: EndpointState) -> EndpointState:
-    if one.latency_ms > NOTICEABLE_LATENCY_RATIO * other.latency_ms > 0.0:
+def _choose_faster(one: EndpointState, other: EndpointState) -> EndpointState:
+    if one.latency_ms > FASTER_LATENCY_RATIO * other.latency_ms > 0.0:
         return other
     return one
--- a/azurestep/mesh/backend/probing.py
+++ b/azurestep/mesh/backend/probing.py
@@ -1,8 +1,7 @@
-"""Health probes: which incarnation runs beside this node.
+"""Health probes that find the incarnation of the local backend server.
 
-Asked only where heartbeats don't tell: after a restart of the node, which would
-otherwise leave the backend server unused for up to a heartbeat, 1.5 s, and when two
-incarnations announced themselves at the same address.
+Sent only where heartbeats don't suffice: after a restart of the node, instead of
+waiting for the next heartbeat, and when two incarnations announced the same address.
 """
 
 import asyncio
@@ -18,58 +17,60 @@
 from .inbound import Inbound
 
 PROBE_TIMEOUT_S = 1.0
-SEARCH_MS = 3000.0
-"""Time from the start in which a restarted node looks for the backend server beside
-it: two heartbeats, after which its silence means that it is gone."""
-SLOTS_ASSUMED = 4
-"""Slots of a backend server that a probe found and that tells no load, until its
-heartbeat says how many; the least that was seen on a deployment is 6."""
-PROBE_GAP_MS = 300.0
-"""Least time between two probes."""
+SEARCH_TIMEOUT_MS = 3000.0
+"""Time after the start in which a restarted node searches for its backend server.
+
+Covers two heartbeats; a server without one by then is gone.
+"""
+DEFAULT_SLOTS = 4
+"""Slots of a backend server found by a probe, until its heartbeat names them."""
+MIN_PROBE_INTERVAL_MS = 300.0
 OK = 200
 
 
 @attrs.frozen(slots=True)
-class Found:
+class ProbeResult:
     """The healthy incarnation that answered a probe.
 
     Attributes
     ----------
     slots : int or None
-        How many requests it runs at once, where it tells it.
+        Requests that it runs concurrently; None if it named no number.
     """
 
     instance_id: str
     slots: int | None
 
 
-class ProbeSink:
-    """Collects the answer to a probe."""
+class ProbeAnswerSink:
+    """Receives the answer to a probe."""
 
-    def __init__(self, future: "asyncio.Future[Found | None]") -> None:
+    def __init__(self, future: "asyncio.Future[ProbeResult | None]") -> None:
         self._future = future
         self._status = 0
-        self._found: Found | None = None
+        self._result: ProbeResult | None = None
 
     def on_head(self, status: int, headers: Headers) -> bool:
         """Keep status and incarnation."""
         self._status = status
         fields = read_answer(headers)
         if fields.instance_id:
-            self._found = Found(fields.instance_id.decode("latin-1"), fields.slots)
+            self._result = ProbeResult(
+                fields.instance_id.decode("latin-1"), fields.slots
+            )
         return True
 
     def on_data(self, data: bytes) -> None:
         """Ignore the body."""
 
     def on_complete(self, reusable: bool) -> None:
-        """Hand the incarnation over if it is healthy."""
+        """Set the incarnation as the result if it is healthy."""
         healthy = self._status == OK
         if not self._future.done():
-            self._future.set_result(self._found if healthy else None)
+            self._future.set_result(self._result if healthy else None)
 
     def on_failed(self, reason: str) -> None:
-        """Hand over that nobody is known to run there."""
+        """Set None as the result."""
         if not self._future.done():
             self._future.set_result(None)
 
@@ -79,15 +80,14 @@
 
 @attrs.define(eq=False)
 class Prober:
-    """Sends a health probe to the backend server where it is in doubt.
+    """Probes the local backend server while its incarnation is uncertain.
 
     Attributes
     ----------
     service : str
-        Service of the backend server, as the settings say.
+        Service of the backend server by the settings.
     restarted : bool
-        Whether the backend server may have been running before this process, so
-        that it is looked for instead of waiting for its next heartbeat.
+        Whether the backend server may have been running before this process.
     """
 
     runtime: Runtime
@@ -103,10 +103,10 @@
         self._started_ms = self.runtime.now_ms()
 
     def check(self) -> None:
-        """Probe if it is not clear which incarnation runs."""
+        """Send a probe if the incarnation is uncertain."""
         if self._probing or not self._is_due() or self.table() is None:
             return
-        if self.runtime.now_ms() - self._last_ms < PROBE_GAP_MS:
+        if self.runtime.now_ms() - self._last_ms < MIN_PROBE_INTERVAL_MS:
             return
         self._probing = True
         self._last_ms = self.runtime.now_ms()
@@ -116,15 +116,15 @@
         backend = self.inbound.backend
         if backend.conflicting_id:
             return True
-        return self.restarted and not backend.instance_id and self._searches()
+        return self.restarted and not backend.instance_id and self._is_searching()
 
-    def _searches(self) -> bool:
-        return self.runtime.now_ms() - self._started_ms < SEARCH_MS
+    def _is_searching(self) -> bool:
+        return self.runtime.now_ms() - self._started_ms < SEARCH_TIMEOUT_MS
 
     async def _probe(self) -> None:
         backend = self.inbound.backend
         try:
-            found = await self._ask()
+            found = await self._send_probe()
         finally:
             self._probing = False
         events.log(
@@ -134,18 +134,18 @@
             doubted=backend.conflicting_id,
         )
         if found is not None:
-            self._take(found)
+            self._apply_result(found)
 
-    def _take(self, found: Found) -> None:
+    def _apply_result(self, found: ProbeResult) -> None:
         backend = self.inbound.backend
-        slots = found.slots or SLOTS_ASSUMED
+        slots = found.slots or DEFAULT_SLOTS
         if backend.discover(found.instance_id, self.service, slots):
             self.inbound.changed()
             return
         backend.confirm_instance(found.instance_id, self.runtime.now_ms())
         self.inbound.on_change()
 
-    async def _ask(self) -> Found | None:
+    async def _send_probe(self) -> ProbeResult | None:
         table = self.table()
         service = self.inbound.backend.service or self.service
         if table is None or service not in table.services:
@@ -153,16 +153,16 @@
         connection = await self.inbound.connect()
         if connection is None:
             return None
-        future: asyncio.Future[Found | None] = self.runtime.loop.create_future()
+        future: asyncio.Future[ProbeResult | None] = self.runtime.loop.create_future()
         host, port = self.inbound.address
         path = table.services[service].health_path.decode("latin-1")
         head = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
-        connection.send(head.encode("latin-1"), ProbeSink(future), True)
+        connection.send(head.encode("latin-1"), ProbeAnswerSink(future), True)
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 found = await future
         except TimeoutError:
             connection.abort()
             return None
-        self.inbound.keep(connection)
+        self.inbound.return_connection(connection)
         return found
--- a/azurestep/traffic/once_answers.py
+++ b/azurestep/traffic/once_answers.py
@@ -1,4 +1,4 @@
-"""HTTP answers to requests that must not repeat."""
+"""HTTP answers to requests that run at most once."""
 
 import math
 
@@ -21,15 +21,15 @@
 MS_PER_S = 1000
 
 
-def http_answer(answer: AnswerCaller) -> web.Response:
-    """Return the HTTP answer that says what became of a request."""
+def make_http_answer(answer: AnswerCaller) -> web.Response:
+    """Return the HTTP answer for the outcome of a request."""
     fields: CIMultiDict[str] = CIMultiDict()
     fields[headers.OUTCOME] = answer.outcome.value
     fields[headers.IDEMPOTENCY_KEY] = answer.key
     if answer.replayed:
         fields[headers.REPLAYED] = "1"
     if answer.outcome is Outcome.RAN and answer.answer is not None:
-        return _kept(answer.answer, fields)
+        return _make_kept_answer(answer.answer, fields)
     fields[headers.REASON] = answer.reason.value
     if answer.outcome is Outcome.NOT_RUN:
         fields[headers.NOT_RUN] = "1"
@@ -55,7 +55,7 @@
     )
 
 
-def _kept(kept: KeptAnswer, fields: "CIMultiDict[str]") -> web.Response:
+def _make_kept_answer(kept: KeptAnswer, fields: "CIMultiDict[str]") -> web.Response:
     if kept.trimmed:
         fields[headers.TRIMMED] = "1"
     for header in kept.headers:
--- a/azurestep/traffic/proxy.py
+++ b/azurestep/traffic/proxy.py
@@ -1,7 +1,7 @@
-"""The proxy: takes a caller's request through the stages to its answer.
+"""The proxy: serves a caller's request.
 
-Stages: match the route, read the body, admit, send, relay. Each stage takes the
-call and returns the next thing or a refusal.
+Stages: match the route, read the body, admit, send, relay. A stage may end the
+request with a refusal.
 """
 
 import asyncio
@@ -13,42 +13,44 @@
 from ..balancing import LoadReport
 from ..environment import Clock
 from ..settings import Settings
-from .answers import Refusal, answer_of, not_run
+from .answers import Refusal, make_answer, not_run
 from .attempt import AttemptSender
 from .call import (
     Call,
-    budget_of,
-    host_of,
     is_resend,
-    target_of,
+    read_budget,
+    read_host,
+    read_target,
 )
-from .caller_connection import has_next
+from .caller_connection import has_pipelined_request
 from .directory import Directory
 from .forward import Forwarder
 from .latency import AddedLatency, LatencySummary
-from .pool import NewsListener, QuarantineNews, ServicePool
-from .request_body import keep_body
+from .pool import QuarantineListener, QuarantineReport, ServicePool
+from .request_body import buffer_body
 from .single_run import RunFailed, RunResult, run_single
 from .table import RoutingTable
-from .under_way import STOPPING, Passage, UnderWay
+from .under_way import STOPPING, InFlightRequest, InFlightRequests
 
 STARTING_RETRY_AFTER_MS = 500.0
-STARTING_WAIT_S = 2.0
+MAX_STARTING_WAIT_S = 2.0
 MS_PER_S = 1000
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 OnceHandler = Callable[[Call], Awaitable[web.Response]]
 
 
 class Proxy:
-    """Serves callers with the routing table and the directory of the moment.
+    """Serves callers with the current routing table and directory.
 
     Attributes
     ----------
-    on_quarantine_news : callable
-        Told what this node learned about requests that crash backend servers,
-        so that the other nodes can be told.
+    on_quarantine_report : callable
+        Called with each report on requests that crash backend servers; it sends
+        the report to peers.
     ready : asyncio.Event
-        Set once requests needn't wait for a table and the directory any more.
+        Set once requests no longer wait for the routing table and the directory.
+    once_handler : callable or None
+        Serves requests that must run at most once; None serves them as others.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         clock: Clock,
         source: random.Random,
     ) -> None:
-        self.on_quarantine_news: NewsListener = _ignore
+        self.on_quarantine_report: QuarantineListener = _ignore_report
         self._settings = settings
         self._clock = clock
         self._random = source
@@ -67,20 +69,20 @@
         self._table: RoutingTable | None = None
         self._directory = Directory()
         self._pools: dict[str, ServicePool] = {}
-        self._under_way = UnderWay()
+        self._in_flight_requests = InFlightRequests()
         self._is_draining = False
         self._is_closed = False
         self.ready = asyncio.Event()
-        self.once: OnceHandler | None = None
+        self.once_handler: OnceHandler | None = None
 
     @property
     def in_flight(self) -> int:
-        """Requests that have no whole answer yet, also those run for peers."""
-        return len(self._under_way)
+        """Requests without a whole answer, including those run for peers."""
+        return len(self._in_flight_requests)
 
     @property
     def table(self) -> RoutingTable | None:
-        """The table in force."""
+        """The current routing table."""
         return self._table
 
     @property
@@ -88,31 +90,31 @@
         """Whether any backend server is known."""
         return bool(self._directory.endpoints)
 
-    def knows_endpoints(self) -> bool:
-        """Whether every service of the table has a backend server."""
+    def has_all_endpoints(self) -> bool:
+        """Return whether every service of the routing table has a backend server."""
         if self._table is None:
             return False
-        return all(self._directory.of(name) for name in self._table.services)
+        return all(self._directory.endpoints_of(name) for name in self._table.services)
 
     def latency_summary(self) -> LatencySummary:
-        """Return the distribution of the time that this node adds."""
+        """Return the distribution of the latency that this node adds."""
         return self._latency.summary()
 
     def drain(self) -> None:
-        """Ask the callers to go elsewhere: each answer closes its connection."""
+        """Close the caller's connection after each answer from now on."""
         self._is_draining = True
 
     def close(self) -> None:
-        """Refuse every request that comes from now on, as not run."""
+        """Refuse new requests as not run."""
         self._is_draining = self._is_closed = True
 
-    def give_up(self) -> int:
-        """Bring all requests to a final answer; return how many there were."""
+    def end_requests(self) -> int:
+        """End all requests in flight with a refusal; return their number."""
         self.close()
-        return self._under_way.give_up()
+        return self._in_flight_requests.end_requests()
 
     def swap_table(self, table: RoutingTable) -> None:
-        """Put a whole new table in force by one assignment."""
+        """Replace the routing table; requests in flight keep theirs."""
         now_ms = self._clock.monotonic_ms()
         for name, service in table.services.items():
             pool = self._pools.get(name)
@@ -129,124 +131,124 @@
             self._settings.data_centre,
             self._settings.instance,
             self._random,
-            on_news=self._tell_news,
+            on_report=self._publish_quarantine,
         )
-        pool.replace_endpoints(self._directory.of(name), now_ms)
+        pool.replace_endpoints(self._directory.endpoints_of(name), now_ms)
         return pool
 
-    def _tell_news(self, news: QuarantineNews) -> None:
-        self.on_quarantine_news(news)
+    def _publish_quarantine(self, report: QuarantineReport) -> None:
+        self.on_quarantine_report(report)
 
     def swap_directory(self, directory: Directory) -> None:
-        """Take over the present backend servers of every service."""
+        """Replace the directory and update the pools of changed services."""
         now_ms = self._clock.monotonic_ms()
         self._directory = directory
         for name in directory.changed & self._pools.keys():
-            self._pools[name].replace_endpoints(directory.of(name), now_ms)
+            self._pools[name].replace_endpoints(directory.endpoints_of(name), now_ms)
 
-    def learn_quarantine(self, news: QuarantineNews) -> None:
-        """Take over what another node learned."""
-        pool = self._pools.get(news.service)
+    def merge_quarantine(self, report: QuarantineReport) -> None:
+        """Merge a peer's quarantine report."""
+        pool = self._pools.get(report.service)
         if pool is not None:
             now_ms = self._clock.monotonic_ms()
-            pool.quarantine.merge(news.updates, now_ms, len(pool.endpoints))
+            pool.quarantine.merge(report.updates, now_ms, len(pool.endpoints))
 
     def report_load(self, service: str, report: LoadReport) -> None:
-        """Take a backend server's own word as a hint."""
+        """Apply a backend server's load report."""
         pool = self._pools.get(service)
         if pool is not None:
             pool.admission.report(report)
 
     def tick(self) -> None:
-        """Drop waiting requests whose time is over."""
+        """Drop expired queued requests and flush the latency histogram."""
         now_ms = self._clock.monotonic_ms()
         self._latency.flush()
         for pool in self._pools.values():
             pool.tick(now_ms)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
-        result = STOPPING if self._is_closed else await self._serve_in_time(request)
-        response = answer_of(result) if isinstance(result, Refusal) else result
+        """Handle one request of a caller."""
+        result = STOPPING if self._is_closed else await self._serve_until_ended(request)
+        response = make_answer(result) if isinstance(result, Refusal) else result
         if (
             self._is_draining
             and not response.prepared
-            and not has_next(request.protocol)
+            and not has_pipelined_request(request.protocol)
         ):
             response.force_close()
         return response
 
-    async def _serve_in_time(
+    async def _serve_until_ended(
         self, request: web.BaseRequest
     ) -> web.StreamResponse | Refusal:
-        passage = Passage()
+        entry = InFlightRequest()
         try:
-            async with passage.limit:
-                self._under_way.add(passage)
-                return await self._serve(request, passage)
+            async with entry.timeout:
+                self._in_flight_requests.add(entry)
+                return await self._serve(request, entry)
         except TimeoutError:
-            if not passage.limit.expired():
+            if not entry.timeout.expired():
                 raise
-            return passage.last_answer()
+            return entry.final_refusal()
         finally:
-            self._under_way.remove(passage)
+            self._in_flight_requests.remove(entry)
 
     async def _wait_until_ready(self) -> None:
         try:
-            await asyncio.wait_for(self.ready.wait(), STARTING_WAIT_S)
+            await asyncio.wait_for(self.ready.wait(), MAX_STARTING_WAIT_S)
         except TimeoutError:
             return
 
     async def _serve(
-        self, request: web.BaseRequest, passage: Passage
+        self, request: web.BaseRequest, entry: InFlightRequest
     ) -> web.StreamResponse | Refusal:
         if not self.ready.is_set():
             await self._wait_until_ready()
-        call = self._match(request)
+        call = self._match_route(request)
         if isinstance(call, Refusal):
             return call
-        passage.call = call
+        entry.call = call
         refusal = await self._read_body(request, call)
         if refusal is not None:
             return refusal
-        if not call.match.idempotent and self.once is not None:
-            passage.is_at_owner = True
-            return await self.once(call)
+        if not call.match.idempotent and self.once_handler is not None:
+            entry.is_at_owner = True
+            return await self.once_handler(call)
         return await self.run(request, call)
 
     async def run_single(self, call: Call) -> RunResult:
-        """Run a request that must not repeat, once."""
+        """Run a request that must run at most once."""
         pool = self._pools[call.match.service.name]
-        passage = Passage(call=call, is_run=True)
+        entry = InFlightRequest(call=call, is_owner_run=True)
         try:
-            async with passage.limit:
-                self._under_way.add(passage)
+            async with entry.timeout:
+                self._in_flight_requests.add(entry)
                 return await run_single(pool, self._forwarder, call, self._clock)
         except TimeoutError:
-            if not passage.limit.expired():
+            if not entry.timeout.expired():
                 raise
-            return RunFailed(bytes_sent=passage.may_have_run)
+            return RunFailed(bytes_sent=entry.may_have_run)
         finally:
-            self._under_way.remove(passage)
+            self._in_flight_requests.remove(entry)
 
-    def _match(self, request: web.BaseRequest) -> Call | Refusal:
+    def _match_route(self, request: web.BaseRequest) -> Call | Refusal:
         arrived_ms = self._clock.monotonic_ms()
         table = self._table
         if table is None:
             return not_run(503, "starting", STARTING_RETRY_AFTER_MS)
         match = table.match(
-            host_of(request), request.path, request.method, request.headers
+            read_host(request), request.path, request.method, request.headers
         )
         if match is None:
             return not_run(404, "no_route", None)
-        budget = budget_of(request, match)
+        budget = read_budget(request, match)
         if budget.expired:
             return not_run(504, "deadline", None)
         if budget.too_deep:
             return not_run(508, "too_deep", None)
         return Call(
             request.method,
-            target_of(request),
+            read_target(request),
             request.headers,
             table,
             match,
@@ -265,7 +267,7 @@
         remaining_ms = call.remaining_ms(started_ms)
         try:
             async with asyncio.timeout(max(0.0, remaining_ms) / MS_PER_S):
-                refusal = await keep_body(request, call)
+                refusal = await buffer_body(request, call)
         except TimeoutError:
             return not_run(408, "body_too_slow", None)
         call.waited_ms += self._clock.monotonic_ms() - started_ms
@@ -274,19 +276,19 @@
     async def run(
         self, request: web.BaseRequest | None, call: Call
     ) -> web.StreamResponse | Refusal:
-        """Send attempts until one is answered or none may follow.
+        """Send attempts until one is answered or no retry is allowed.
 
         Parameters
         ----------
         request : web.BaseRequest or None
-            Where a large answer is written as it comes; None returns every
-            answer whole, as a ``web.Response``.
+            Request whose connection large answers are streamed to; None returns
+            every answer whole, as a ``web.Response``.
         call : Call
-            What to send.
+            The call to send.
         """
         pool = self._pools[call.match.service.name]
         return await self._forwarder.run(pool, request, call)
 
 
-def _ignore(news: QuarantineNews) -> None:
+def _ignore_report(report: QuarantineReport) -> None:
     return
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -1,14 +1,4 @@
-"""A stopping node answers every request that it read whole before it ends.
-
-Two uploads were cut with the processes of two stopping nodes, 5.77 s and 5.79 s after
-SIGTERM. At the end of its grace time a node closed its idle connections and ended,
-whatever still waited elsewhere for an answer. Where those two waited is not known. On
-another day an upload that was cut in the same way had been "in the queue" for 5,888 ms,
-beside a server short of room ("load of the backend server": 6 of 6 slots, up to 19.9
-waiting); late requests stand last there until their deadline, later than the node's
-end. With requests that outlast the grace time, eight of eight callers on the stand-ins
-lost their connection.
-"""
+"""A node that shuts down answers every complete request before it exits."""
 
 import asyncio
 import socket
@@ -38,13 +28,13 @@
 from .test_mesh_refusals import only
 
 LONG_MS = 9000
-"""Longer than a stopping node lives."""
+"""Longer than a shutdown."""
 CUT = 0
-"""In place of a status: the connection ended without an answer."""
+"""Stands for a status where the connection ended without an answer."""
 
 
 def long_document(version: int, **read: object) -> bytes:
-    """Return a document whose reads may last longer than a node stops."""
+    """Return a document whose reads may outlast a shutdown."""
     route = {
         "host": "shop.example",
         "path_prefix": "/read/",
@@ -60,7 +50,7 @@
 
 @pytest_asyncio.fixture
 async def patient(mesh: MeshFleet) -> MeshFleet:
-    """Run the fleet with a route whose requests may last long."""
+    """Run the fleet with a route whose requests may be long."""
     mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, long_document(8))
     await eventually(
         lambda: all(item.node.configuration.version == 8 for item in mesh.instances)
@@ -76,7 +66,7 @@
 
 
 async def stop(instance: MeshInstance) -> None:
-    """Stop a node as SIGTERM does, and end it as its process ends."""
+    """Shut a node down as SIGTERM does, and end it as its process ends."""
     instance.node.stop()
     assert instance.task is not None
     await instance.task
@@ -84,7 +74,7 @@
 
 
 @pytest.mark.parametrize("asked", [0, 1])
-async def test_a_stopping_node_answers_what_outlasts_it(
+async def test_requests_that_outlast_the_shutdown_are_answered(
     patient: MeshFleet, asked: int
 ) -> None:
     serving, stopping = patient.instances[0], patient.instances[asked]
@@ -100,7 +90,7 @@
     assert statuses.count(504) == serving.server.slots
 
 
-async def test_a_stopping_node_does_not_give_up_a_run_that_ends_in_time(
+async def test_a_run_that_ends_in_time_is_not_aborted(
     patient: MeshFleet,
 ) -> None:
     serving, stopping = patient.instances[:2]
@@ -112,7 +102,7 @@
     assert await asyncio.gather(*calls) == [200] * 3
 
 
-async def test_a_stop_elsewhere_does_not_speak_against_a_sound_server(
+async def test_the_shutdown_of_a_peer_is_no_failure_of_the_server(
     patient: MeshFleet,
 ) -> None:
     serving, stopping = patient.instances[:2]
@@ -126,7 +116,7 @@
     assert serving.node.inbound.health.failure_ratio == 0.0
 
 
-async def test_a_request_that_comes_to_a_stopping_node_gets_no_more_time_than_it_has(
+async def test_a_request_during_the_shutdown_has_time_until_the_drain_deadline(
     patient: MeshFleet,
 ) -> None:
     serving, stopping = patient.instances[:2]
@@ -136,11 +126,11 @@
     left_ms = float(serving.server.received[-1].headers["deadline-milliseconds"])
     plan = stopping.node.shutdown.plan
     assert plan is not None
-    assert left_ms <= plan.drain_deadline_ms - plan.since_ms
+    assert left_ms <= plan.drain_deadline_ms - plan.signalled_ms
 
 
 class FullTransport:
-    """Takes bytes that never leave."""
+    """Accepts bytes and never sends them."""
 
     def is_closing(self) -> bool:
         return False
@@ -156,20 +146,20 @@
 
 
 def get_bytes(name: str) -> bytes:
-    """Return a read as a caller writes it."""
+    """Return a read as a caller sends it."""
     head = "\r\n".join(f"{k}: {v}" for k, v in caller_headers(name, LONG_MS).items())
     return f"GET /read/1 HTTP/1.1\r\n{head}\r\n\r\n".encode()
 
 
 def slow_caller() -> socket.socket:
-    """Return the socket of a caller that takes few bytes at a time."""
+    """Return the socket of a caller with a small receive buffer."""
     caller = socket.socket()
     caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     caller.setblocking(False)
     return caller
 
 
-async def test_a_stopping_node_ends_after_its_answers_have_left(
+async def test_the_node_exits_after_its_answers_are_sent(
     mesh: MeshFleet,
 ) -> None:
     body = b"x" * 4_000_000
@@ -193,7 +183,7 @@
     assert len(received) > len(body)
 
 
-async def test_a_stopping_node_ends_after_its_answers_to_other_nodes_have_left(
+async def test_the_node_exits_after_its_answers_to_peers_are_sent(
     patient: MeshFleet,
 ) -> None:
     serving, asking = patient.instances[:2]
@@ -217,18 +207,18 @@
     await ended
 
 
-def learn_run_ms(instance: MeshInstance, run_ms: float) -> None:
-    """Have a node know how long the reads of its server take."""
+def set_mean_run_ms(instance: MeshInstance, run_ms: float) -> None:
+    """Set the mean run time of reads at a node."""
     for _ in range(60):
         instance.node.inbound.admission.learn("read", run_ms)
 
 
-async def test_what_waits_beside_a_stopping_node_goes_elsewhere_at_once(
+async def test_waiting_requests_are_retried_elsewhere_at_once(
     patient: MeshFleet,
 ) -> None:
     stopping, other, asking = patient.instances
     await only(patient, stopping)
-    learn_run_ms(stopping, 4500)
+    set_mean_run_ms(stopping, 4500)
     stopping.server.work_s = 4.5
     names = [f"q{index}" for index in range(8)]
     calls = [asyncio.create_task(read(patient, asking, name)) for name in names]
@@ -264,7 +254,7 @@
     )
 
 
-async def test_an_ended_node_says_what_it_left(
+async def test_calls_aborted_by_the_exit_are_logged(
     patient: MeshFleet, mesh_lines: MeshLines
 ) -> None:
     stopping = patient.instances[0]
@@ -280,11 +270,11 @@
     lines = mesh_lines.of(events.STOPPED.number, events.CALL_FAILED.number)
     cut = [line for line in lines if line["event"] == events.CALL_FAILED.number]
     assert [(line["id"], line["reason"]) for line in cut] == [("d1", "STOPPING")]
-    (told,) = (line for line in lines if line["event"] == events.STOPPED.number)
-    assert told["calls"] == 1
+    (stopped,) = (line for line in lines if line["event"] == events.STOPPED.number)
+    assert stopped["calls"] == 1
 
 
-async def test_a_node_that_has_ended_takes_no_run_that_it_would_cut(
+async def test_a_node_that_exits_refuses_new_runs(
     mesh: MeshFleet,
 ) -> None:
     serving, asking = mesh.instances[:2]
@@ -302,7 +292,7 @@
     assert serving.server.runs["late-1"] == 0
 
 
-async def test_connections_that_wait_as_a_stopping_node_closes_are_answered(
+async def test_connections_pending_when_the_listener_closes_are_answered(
     mesh: MeshFleet,
 ) -> None:
     stopping = mesh.instances[0]
@@ -315,7 +305,7 @@
     assert plan is not None
     loop = asyncio.get_running_loop()
     with socket.socket() as caller:
-        # Nothing awaits in between, so that the event loop can't accept it before.
+        # Nothing is awaited in between, so the event loop can't accept it earlier.
         caller.connect((stopping.host, CALLER_PORT))
         caller.sendall(get_bytes("w1"))
         caller.setblocking(False)
@@ -325,7 +315,7 @@
     assert (await held)[0] == 200
 
 
-async def test_a_stopping_node_does_not_wait_until_its_news_have_left(
+async def test_the_exit_waits_for_unsent_outcomes_but_not_for_reports(
     mesh: MeshFleet,
 ) -> None:
     incoming_links = mesh.instances[0].node.incoming_links
@@ -337,8 +327,8 @@
     assert incoming_links.has_unsent_outcomes
 
 
-class BusyUntilClosed:
-    """A listener that callers reach while the event loop is about to close it."""
+class ListenerWithPendingCallers:
+    """A listener that callers connect to just before it is closed."""
 
     def __init__(self, server: asyncio.Server, host: str) -> None:
         self.sockets = server.sockets
@@ -356,16 +346,12 @@
         self.server.close()
 
 
-async def test_callers_that_wait_at_the_closing_listener_are_refused(
+async def test_connections_accepted_only_by_the_kernel_are_refused(
     mesh: MeshFleet,
 ) -> None:
-    """A stopping node reset callers whose connections only the kernel had taken.
-
-    A busy node takes some milliseconds to come to them. In 2 of 6 runs of three stops
-    each, 3 requests that were sent 2.30 to 2.36 s after SIGTERM had no answer.
-    """
+    """Guards against resetting connections that the node had not accepted yet."""
     instance = mesh.instances[0]
-    listener = BusyUntilClosed(instance.node._servers[0], instance.host)
+    listener = ListenerWithPendingCallers(instance.node._servers[0], instance.host)
     instance.node._servers[0] = listener  # type: ignore[call-overload]
     await stop(instance)
     answers = []
--- a/tests/test_traffic_last_answers.py
+++ b/tests/test_traffic_last_answers.py
@@ -1,10 +1,4 @@
-"""A node that stops answers what is still under way when its time is over.
-
-A stop waited 30 s for requests in flight, counted the rest as cut, and left them to the
-server's own shutdown, which closes connections without an answer. A request that waited
-for a slot, one at work and a payment at its owner all ended so; the second of two
-requests sent in a row was dropped as soon as the node stopped, however short it was.
-"""
+"""Graceful shutdown: every request in flight is answered before the node exits."""
 
 import asyncio
 import re
@@ -15,11 +9,11 @@
 import pytest_asyncio
 
 from azurestep.config.model import LimitRule
-from azurestep.control.messages import CarriedCall
+from azurestep.control.messages import PackedCall
 from azurestep.environment import Environment
 from azurestep.node import run
 from azurestep.once.messages import Header
-from azurestep.traffic.carried import restore
+from azurestep.traffic.packed_call import unpack_call
 from azurestep.traffic.single_run import RunFailed
 from tests.fixtures_traffic import SERVICE
 
@@ -30,7 +24,7 @@
 
 
 class OtherServices:
-    """What a stop asks of a node's other services, done at once."""
+    """A node's other services, which complete each step of a shutdown immediately."""
 
     def __init__(self, last_moment=None):
         self.inputs = asyncio.Queue()
@@ -56,7 +50,7 @@
 
 @pytest_asyncio.fixture
 async def stop_node(monkeypatch):
-    """Stop a node as a signal does, with a short time for what is in flight."""
+    """Shut a node down as a signal does, with a short drain timeout."""
     monkeypatch.setattr(run, "DRAIN_SETTLE_S", 0.0)
     monkeypatch.setattr(run, "LEAVE_SETTLE_S", 0.0)
     monkeypatch.setattr(run, "DRAIN_TIMEOUT_S", 0.6)
@@ -79,13 +73,13 @@
     return rig.traffic.proxy.in_flight
 
 
-def verdicts_of(answer):
-    """Return status and whether it is said that the request has not run."""
+def read_outcomes(answer):
+    """Return status and presence of the "not run" header of each answer."""
     heads = re.findall(rb"HTTP/1\.1 (\d+)(.*?)\r\n\r\n", answer, re.DOTALL)
     return [(int(status), b"Azurestep-Not-Run: 1" in rest) for status, rest in heads]
 
 
-async def test_every_whole_request_is_answered(
+async def test_every_request_in_flight_is_answered(
     raw_call, start_backend_server, start_traffic, stop_node, wait_until
 ):
     server = await start_backend_server()
@@ -96,7 +90,7 @@
     async def ask_owner(call):
         await never.wait()
 
-    narrow.traffic.proxy.once = ask_owner
+    narrow.traffic.proxy.once_handler = ask_owner
     slow = get(f"/songs?delay_ms={LONG_MS}")
     requests = {
         "at work": (narrow, slow),
@@ -114,7 +108,7 @@
         stop_node(narrow, lambda: writer.write(slow)), stop_node(wide)
     )
     calls["sent last"] = asyncio.create_task(reader.read())
-    answers = {name: verdicts_of(await call) for name, call in calls.items()}
+    answers = {name: read_outcomes(await call) for name, call in calls.items()}
     writer.close()
 
     assert answers == {
@@ -128,7 +122,7 @@
     assert cuts == [4, 0]
 
 
-async def test_an_answer_that_began_is_broken_off_visibly(
+async def test_a_started_answer_is_aborted_visibly(
     raw_call, start_backend_server, start_traffic, stop_node, start_raw_server
 ):
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
@@ -141,13 +135,13 @@
     rest = await reader.read()
     writer.close()
 
-    assert verdicts_of(begun + rest) == [RAN]
+    assert read_outcomes(begun + rest) == [RAN]
     assert set(rest) <= {ord("a")}
     assert len(rest) <= 100_000
     assert cut == 1
 
 
-async def test_a_run_for_another_node_is_told_as_it_is(
+async def test_a_run_for_a_peer_reports_whether_it_may_have_run(
     start_backend_server, start_traffic, stop_node, wait_until
 ):
     server = await start_backend_server()
@@ -155,7 +149,7 @@
     proxy = rig.traffic.proxy
     runs = []
     for number in (1, 2):
-        call = a_call(proxy.table, f"/songs?delay_ms={LONG_MS}")
+        call = make_call(proxy.table, f"/songs?delay_ms={LONG_MS}")
         runs.append(asyncio.create_task(proxy.run_single(call)))
         await wait_until(lambda n=number: proxy.in_flight == n)
     await wait_until(lambda: server.load().in_flight == 1)
@@ -164,13 +158,13 @@
     assert [await run for run in runs] == [RunFailed(True), RunFailed(False)]
 
 
-def a_call(table, target):
-    carried = CarriedCall("GET", target, "x", [Header("Host", "x")], b"")
+def make_call(table, target):
+    packed = PackedCall("GET", target, "x", [Header("Host", "x")], b"")
     now_ms = Environment().clock.monotonic_ms()
-    return restore(carried, table, LONG_MS, now_ms)
+    return unpack_call(packed, table, LONG_MS, now_ms)
 
 
-async def test_a_late_request_is_served_where_nothing_was_given_up(
+async def test_a_late_request_is_served_if_the_drain_completed(
     start_backend_server, start_traffic, stop_node
 ):
     server = await start_backend_server()
@@ -181,16 +175,13 @@
     answer = await reader.read()
     writer.close()
 
-    assert verdicts_of(answer) == [RAN]
+    assert read_outcomes(answer) == [RAN]
 
 
-async def test_the_end_of_an_answer_is_not_lost_with_the_process(
+async def test_the_end_of_an_answer_is_sent_before_the_exit(
     start_backend_server, start_traffic, stop_node, wait_until
 ):
-    """A caller that read slowly lost the last 64 KiB or less of its answer.
-
-    They stood in the process, behind a full send buffer of the kernel, when it ended.
-    """
+    """A slow reader must not lose the bytes in the node's write buffer at its exit."""
     server = await start_backend_server()
     rig = await start_traffic(server.address.port)
     caller = socket.socket()
@@ -208,12 +199,12 @@
     await asyncio.sleep(0.3)
     reading = asyncio.create_task(read_all(caller))
     assert await stopping == 0
-    # What the end of the process does to an open connection.
+    # The exit of the process aborts open connections.
     transport.abort()
     answer = await reading
     caller.close()
 
-    assert verdicts_of(answer) == [RAN]
+    assert read_outcomes(answer) == [RAN]
     assert len(answer.partition(b"\r\n\r\n")[2]) == 60_000
 
 
@@ -225,17 +216,13 @@
     return answer
 
 
-async def test_connections_that_wait_at_the_listener_are_served(
+async def test_connections_in_the_listeners_backlog_are_served(
     start_backend_server, start_traffic
 ):
-    """A stop reset callers whose connections the kernel had taken in its last moment.
-
-    They had sent a whole request each. Seen where another listener was closed in the
-    same way: in 2 of 18 runs of three stops each, 3 requests ended without an answer.
-    """
+    """A closed listener must not reset connections that the kernel already accepted."""
     server = await start_backend_server()
     rig = await start_traffic(server.address.port)
-    # Nothing awaits in between, so the event loop can't accept them before the stop.
+    # Without an await in between, the event loop can't accept them before the stop.
     callers = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(3)]
     for caller in callers:
         caller.sendall(get("/songs", fields="Connection: close\r\n"))
@@ -245,4 +232,4 @@
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(("127.0.0.1", rig.port))
 
-    assert [verdicts_of(answer) for answer in answers] == [[RAN]] * 3
+    assert [read_outcomes(answer) for answer in answers] == [[RAN]] * 3
--- a/tests/test_traffic_retries.py
+++ b/tests/test_traffic_retries.py
@@ -1,4 +1,4 @@
-"""Retries, deadlines and quarantine as a caller and a backend server see them."""
+"""Retries, deadlines and quarantine, seen by callers and backend servers."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 from azurestep.balancing import EndpointKey, QuarantineUpdate
 from azurestep.config.model import RetryRule
-from azurestep.traffic.pool import QuarantineNews
+from azurestep.traffic.pool import QuarantineReport
 
 from .fixtures_traffic import SERVICE
 
@@ -23,9 +23,7 @@
 
 
 @pytest.mark.parametrize("failure", [SHED, FAILED], ids=["shed", "error"])
-async def test_a_failed_get_is_answered_by_another_try(
-    http, start_raw_server, start_traffic, failure
-):
+async def test_a_failed_get_is_retried(http, start_raw_server, start_traffic, failure):
     server = await start_raw_server([failure, None], [OK])
     rig = await start_traffic(server.port)
     status, headers, body = await fetch(http, f"{rig.url}/songs")
@@ -43,7 +41,7 @@
     assert server.connections == 1
 
 
-async def test_the_last_error_is_passed_on_and_marked(
+async def test_the_last_error_is_relayed_and_marked_final(
     http, start_raw_server, start_traffic
 ):
     server = await start_raw_server(*([[FAILED, None]] * 9))
@@ -72,7 +70,9 @@
     assert (status, server.connections) == (200, 2)
 
 
-async def test_a_cut_payment_may_have_run(http, start_raw_server, start_traffic):
+async def test_a_payment_whose_connection_is_lost_may_have_run(
+    http, start_raw_server, start_traffic
+):
     server = await start_raw_server([None], [OK])
     rig = await start_traffic(server.port)
     status, headers, _ = await fetch(http, f"{rig.url}/pay", "POST", data=b"x")
@@ -80,7 +80,7 @@
     assert "Azurestep-Not-Run" not in headers
 
 
-async def test_resends_take_from_the_retry_budget(
+async def test_resends_spend_the_retry_budget(
     http, start_backend_server, start_traffic
 ):
     rule = RetryRule(max_attempts=2, budget_ratio=0.0)
@@ -96,7 +96,7 @@
     assert first_send[0] == 200
 
 
-async def test_deadline_and_depth_go_onwards(http, start_raw_server, start_traffic):
+async def test_deadline_and_depth_are_propagated(http, start_raw_server, start_traffic):
     server = await start_raw_server([OK])
     rig = await start_traffic(server.port)
     said = {"Azurestep-Deadline-Ms": "500", "Azurestep-Depth": "3"}
@@ -114,8 +114,8 @@
 ):
     servers = [await start_backend_server() for _ in range(20)]
     rig = await start_traffic(*(server.address.port for server in servers))
-    news = []
-    rig.traffic.proxy.on_quarantine_news = news.append
+    reports = []
+    rig.traffic.proxy.on_quarantine_report = reports.append
     url = f"{rig.url}/poison"
     answers = [await fetch(http, url, headers=CRASH) for _ in range(4)]
     harmless = await fetch(http, f"{rig.url}/songs")
@@ -125,11 +125,11 @@
     assert answers[-1][1]["Azurestep-Not-Run"] == "1"
     assert sum(server.counts.started for server in servers) == 3
     assert harmless[0] == 200
-    assert news[-1].service == "catalogue"
-    assert len(news[-1].updates[0].deaths) == 2
+    assert reports[-1].service == "catalogue"
+    assert len(reports[-1].updates[0].deaths) == 2
 
 
-async def test_news_of_another_node_refuse_at_once(
+async def test_a_peers_quarantine_report_applies_immediately(
     http, start_backend_server, start_traffic
 ):
     servers = [await start_backend_server() for _ in range(2)]
@@ -138,7 +138,7 @@
     call_fingerprint = await _fingerprint_of(http, start_backend_server, start_traffic)
     deaths = tuple(EndpointKey("127.0.0.1", port, 1) for port in (1, 2))
     update = QuarantineUpdate(call_fingerprint, deaths, 60_000.0)
-    learner.traffic.proxy.learn_quarantine(QuarantineNews("catalogue", [update]))
+    learner.traffic.proxy.merge_quarantine(QuarantineReport("catalogue", [update]))
     status, headers, _ = await fetch(http, f"{learner.url}/poison")
     assert (status, headers["Azurestep-Reason"]) == (503, "quarantined")
 
@@ -146,10 +146,10 @@
 async def _fingerprint_of(http, start_backend_server, start_traffic):
     server = await start_backend_server()
     rig = await start_traffic(server.address.port)
-    news = []
-    rig.traffic.proxy.on_quarantine_news = news.append
+    reports = []
+    rig.traffic.proxy.on_quarantine_report = reports.append
     await fetch(http, f"{rig.url}/poison", headers=CRASH)
-    return news[0].updates[0].fingerprint
+    return reports[0].updates[0].fingerprint
 
 
 async def test_a_lost_connection_to_a_living_server_is_no_death(
@@ -157,13 +157,13 @@
 ):
     server = await start_raw_server([None], [], [OK])
     rig = await start_traffic(server.port)
-    news = []
-    rig.traffic.proxy.on_quarantine_news = news.append
+    reports = []
+    rig.traffic.proxy.on_quarantine_report = reports.append
     status, _, _ = await fetch(http, f"{rig.url}/songs")
-    assert (status, news) == (200, [])
+    assert (status, reports) == (200, [])
 
 
-async def test_a_refused_connection_is_tried_elsewhere(
+async def test_a_refused_connection_is_retried_elsewhere(
     http, start_backend_server, start_traffic, wait_until
 ):
     server = await start_backend_server()
