--- a/azurestep/balancing/admission.py
+++ b/azurestep/balancing/admission.py
@@ -5,7 +5,7 @@
 
 from ..config.model import ClassShares, Service
 from .choice import Balancer
-from .endpoint_state import LIMIT_KINDS, EndpointState
+from .endpoint_state import LIMITER_OUTCOMES, EndpointState
 from .limiter import LimiterKind
 from .messages import (
     Admitted,
@@ -31,7 +31,7 @@
 MIN_RETRY_AFTER_MS = 50.0
 MAX_RETRY_AFTER_MS = 10_000.0
 DEFAULT_RETRY_AFTER_MS = 1000.0
-MIN_DRAIN_PER_MS = 0.001
+MIN_COMPLETIONS_PER_MS = 0.001
 
 
 class Admission:
@@ -73,7 +73,7 @@
         self._source = source
         self._balancer = Balancer(service, data_centre, instance, source, limiter)
         self._queues = ClassQueues(discipline)
-        self._drain = RateMeter()
+        self._completions = RateMeter()
         self._latency = SmoothedMean()
         self._throttle = Throttle()
         self._may_throttle = throttled
@@ -159,7 +159,7 @@
 
     def _enqueue(self, request: RequestArrived, queue: ClassQueue) -> Queued | Refused:
         now_ms = request.now_ms
-        if not self._balancer.knows_any():
+        if not self._balancer.has_endpoints():
             return self._refuse(RefusalReason.NO_ENDPOINT, now_ms)
         limits = self._service.limits
         if queue.length >= limits.queue_length:
@@ -183,10 +183,10 @@
     def retry_after_ms(self, reason: RefusalReason, now_ms: float) -> float:
         """Return a jittered time after which a caller may send again."""
         base_ms = DEFAULT_RETRY_AFTER_MS
-        drain = self._drain.per_ms(now_ms)
+        completions_per_ms = self._completions.per_ms(now_ms)
         is_closed = reason in (RefusalReason.NO_ENDPOINT, RefusalReason.CLASS_CLOSED)
-        if not is_closed and drain >= MIN_DRAIN_PER_MS:
-            base_ms = (self._queues.waiting() + 1) / drain
+        if not is_closed and completions_per_ms >= MIN_COMPLETIONS_PER_MS:
+            base_ms = (self._queues.waiting() + 1) / completions_per_ms
         base_ms = max(MIN_RETRY_AFTER_MS, min(MAX_RETRY_AFTER_MS, base_ms))
         return base_ms * (0.5 + self._source.random())
 
@@ -213,10 +213,10 @@
         self, endpoint: Endpoint, outcome: Outcome, now_ms: float
     ) -> None:
         self._balancer.finish(endpoint, outcome, now_ms)
-        if outcome.kind in LIMIT_KINDS and self._throttle.record(outcome, now_ms):
+        if outcome.kind in LIMITER_OUTCOMES and self._throttle.record(outcome, now_ms):
             self._throttle.update_ratio(self._balancer.limits_binding(), now_ms)
         if outcome.kind is not OutcomeKind.CANCELLED:
-            self._drain.add(now_ms)
+            self._completions.add(now_ms)
         if outcome.kind is OutcomeKind.SUCCESS:
             self._latency.add(outcome.latency_ms)
 
--- a/azurestep/balancing/choice.py
+++ b/azurestep/balancing/choice.py
@@ -10,8 +10,8 @@
 from .messages import Endpoint, EndpointKey, LoadReport, Outcome
 
 REVIEW_INTERVAL_MS = 250.0
-IDLE_RATIO = 0.25
-BUSY_RATIO = 0.5
+MAX_LOCAL_UTILISATION = 0.25
+MIN_BINDING_UTILISATION = 0.5
 MIN_MEAN_LIMIT = 2.0
 MAX_LOCAL_LATENCY_RATIO = 1.5
 REPORTED_LOAD_WEIGHT = 0.3
@@ -76,9 +76,9 @@
         capacity = self.capacity
         in_flight = sum(pool.total_in_flight for pool in self.pools)
         can_fall = capacity >= MIN_MEAN_LIMIT * len(self._states)
-        return can_fall and in_flight >= BUSY_RATIO * capacity
+        return can_fall and in_flight >= MIN_BINDING_UTILISATION * capacity
 
-    def knows_any(self) -> bool:
+    def has_endpoints(self) -> bool:
         """Return whether any backend server isn't leaving."""
         return any(not s.endpoint.leaving for s in self._states.values())
 
@@ -201,7 +201,7 @@
     def _prefers_local_server(self, local_server: EndpointState) -> bool:
         if local_server.available_index < 0 or local_server.ramp < 1.0:
             return False
-        if local_server.in_flight >= IDLE_RATIO * local_server.limiter.limit:
+        if local_server.in_flight >= MAX_LOCAL_UTILISATION * local_server.limiter.limit:
             return False
         peers = self._local_pool.available
         peer = peers[int(self._source.random() * len(peers))]
--- a/azurestep/balancing/endpoint_state.py
+++ b/azurestep/balancing/endpoint_state.py
@@ -12,7 +12,9 @@
 GOOD_SUCCESS_RATIO = 0.95
 PENALTY_DECAY = 0.05
 FASTER_LATENCY_RATIO = 1.5
-LIMIT_KINDS = frozenset({OutcomeKind.SUCCESS, OutcomeKind.TIMEOUT, OutcomeKind.SHED})
+LIMITER_OUTCOMES = frozenset(
+    {OutcomeKind.SUCCESS, OutcomeKind.TIMEOUT, OutcomeKind.SHED}
+)
 
 
 @attrs.define(eq=False)
@@ -100,7 +102,7 @@
         self.success_ratio += SMOOTHING_GAIN * (succeeded - self.success_ratio)
         if succeeded or kind is OutcomeKind.TIMEOUT:
             self._record_latency(outcome.latency_ms)
-        if kind in LIMIT_KINDS:
+        if kind in LIMITER_OUTCOMES:
             self.limiter.record(outcome, self.in_flight, now_ms)
         self.update_weight()
 
--- a/azurestep/balancing/limiter.py
+++ b/azurestep/balancing/limiter.py
@@ -11,7 +11,7 @@
 WINDOW_SAMPLES = 8
 MIN_WINDOW_MS = 100.0
 LATENCY_TOLERANCE = 2.0
-BASELINE_DRIFT = 1.003
+BASELINE_DRIFT_FACTOR = 1.003
 BASELINE_FALL_GAIN = 0.1
 BASELINE_RISE_GAIN = 0.02
 SLOW_STANDARD_ERRORS = 3.0
@@ -22,8 +22,8 @@
 DECREASE_FACTOR = 0.8
 MIN_DECREASE_FACTOR = 0.5
 MIN_GRADIENT = 0.5
-GRADIENT_SMOOTHING = 0.3
-BUSY_RATIO = 0.5
+GRADIENT_GAIN = 0.3
+MIN_BUSY_RATIO = 0.5
 
 
 class LimiterKind(StrEnum):
@@ -182,7 +182,7 @@
         mean_ms = self.mean_ms()
         self.slow_windows = self.slow_windows + 1 if self._is_slow() else 0
         if self.slow_windows > 1:
-            self.baseline_ms = min(mean_ms, self.baseline_ms * BASELINE_DRIFT)
+            self.baseline_ms = min(mean_ms, self.baseline_ms * BASELINE_DRIFT_FACTOR)
             return
         weight = min(1.0, answered / WINDOW_SAMPLES)
         spread_ms = self.total_deviation_ms / answered - self.deviation_ms
@@ -207,7 +207,7 @@
             return
         if window.is_overloaded():
             self.limit = max(1.0, self.limit * window.decrease_factor(DECREASE_FACTOR))
-        elif window.peak_in_flight >= BUSY_RATIO * self.limit:
+        elif window.peak_in_flight >= MIN_BUSY_RATIO * self.limit:
             self.limit = min(self.max_limit, self.limit + 1.0)
         window.restart(now_ms)
 
@@ -225,7 +225,7 @@
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
             return
-        idle = window.peak_in_flight < BUSY_RATIO * self.limit
+        idle = window.peak_in_flight < MIN_BUSY_RATIO * self.limit
         if not idle or window.is_overloaded():
             self.limit = self._next_limit()
         window.restart(now_ms)
@@ -237,7 +237,7 @@
         ratio = LATENCY_TOLERANCE * window.baseline_ms / max(window.mean_ms(), 0.001)
         gradient = max(MIN_GRADIENT, min(1.0, ratio))
         target = self.limit * gradient + math.sqrt(self.limit)
-        limit = self.limit + GRADIENT_SMOOTHING * (target - self.limit)
+        limit = self.limit + GRADIENT_GAIN * (target - self.limit)
         return max(1.0, min(self.max_limit, limit))
 
 
--- a/azurestep/balancing/retries.py
+++ b/azurestep/balancing/retries.py
@@ -8,7 +8,7 @@
 from .messages import OutcomeKind
 
 MAX_TOKENS = 10.0
-MIN_TOKENS_PER_MS = 0.001
+REFILL_TOKENS_PER_MS = 0.001
 NOT_RUN_KINDS = frozenset({OutcomeKind.CONNECT_FAILED, OutcomeKind.SHED})
 
 
@@ -40,7 +40,7 @@
 
     def spend(self, now_ms: float) -> bool:
         """Spend one token on a retry; return whether there was one."""
-        refill = max(0.0, now_ms - self.updated_ms) * MIN_TOKENS_PER_MS
+        refill = max(0.0, now_ms - self.updated_ms) * REFILL_TOKENS_PER_MS
         if self.ratio > 0:
             self.tokens = min(MAX_TOKENS, self.tokens + refill)
         self.updated_ms = max(now_ms, self.updated_ms)
--- a/azurestep/balancing/throttle.py
+++ b/azurestep/balancing/throttle.py
@@ -13,8 +13,8 @@
 from .limiter import MIN_DECREASE_FACTOR, LatencyWindow
 from .messages import Outcome
 
-MIN_RATIO = 0.05
-TOLERANCE = 3.0
+MIN_ADMITTED_RATIO = 0.05
+THROTTLE_LATENCY_TOLERANCE = 3.0
 MAX_WINDOW_AGE_MS = 1000.0
 INCREASE_TIME_CONSTANT_MS = 3000.0
 MAX_INCREASE_FACTOR = 2.0
@@ -70,7 +70,7 @@
     admitted_ratio: float = 1.0
     overloaded_windows: int = 0
     window: LatencyWindow = attrs.field(
-        factory=lambda: LatencyWindow(TOLERANCE, MAX_WINDOW_AGE_MS)
+        factory=lambda: LatencyWindow(THROTTLE_LATENCY_TOLERANCE, MAX_WINDOW_AGE_MS)
     )
     mix: ArrivalMix = attrs.field(factory=ArrivalMix)
 
@@ -94,12 +94,12 @@
         mix = self.mix
         remaining = self.admitted_ratio * (mix.interactive + mix.payment + mix.bulk)
         if priority is Priority.PAYMENT:
-            return max(MIN_RATIO, remaining / max(mix.payment, 1.0))
+            return max(MIN_ADMITTED_RATIO, remaining / max(mix.payment, 1.0))
         remaining -= mix.payment
         if priority is Priority.INTERACTIVE:
-            return max(MIN_RATIO, remaining / max(mix.interactive, 1.0))
+            return max(MIN_ADMITTED_RATIO, remaining / max(mix.interactive, 1.0))
         remaining -= mix.interactive
-        return max(MIN_RATIO, remaining / max(mix.bulk, 1.0))
+        return max(MIN_ADMITTED_RATIO, remaining / max(mix.bulk, 1.0))
 
     def record(self, outcome: Outcome, now_ms: float) -> bool:
         """Record a finished attempt; return whether the window is full.
@@ -136,7 +136,7 @@
         self.overloaded_windows += 1
         if self.overloaded_windows >= MIN_OVERLOADED_WINDOWS:
             self.admitted_ratio = max(
-                MIN_RATIO, self.admitted_ratio * self._decrease_factor()
+                MIN_ADMITTED_RATIO, self.admitted_ratio * self._decrease_factor()
             )
 
     def _increase_factor(self, now_ms: float) -> float:
--- a/azurestep/traffic/attempt.py
+++ b/azurestep/traffic/attempt.py
@@ -84,14 +84,14 @@
         remaining_ms = call.remaining_ms(started_ms)
         try:
             async with asyncio.timeout(max(0.0, remaining_ms) / MS_PER_S):
-                exchanged = await self._exchange(call, endpoint, extra)
+                result = await self._exchange(call, endpoint, extra)
         except ConnectFailedError:
             return self._make_failed_attempt(OutcomeKind.CONNECT_FAILED, started_ms)
         except TimeoutError:
             return self._make_failed_attempt(OutcomeKind.TIMEOUT, started_ms)
         except (aiohttp.ClientError, HttpProcessingError, OSError):
             return self._make_failed_attempt(OutcomeKind.RESET, started_ms)
-        return self._make_attempt(call, endpoint, exchanged)
+        return self._make_attempt(call, endpoint, result)
 
     async def probe(self, endpoint: Endpoint, timeout_ms: float) -> bool:
         """Return whether the backend server accepts a new connection."""
@@ -190,15 +190,15 @@
         return self._times_by_route.setdefault(call.match.route.name, FirstByteTimes())
 
     def _make_attempt(
-        self, call: Call, endpoint: Endpoint, exchanged: ExchangeResult
+        self, call: Call, endpoint: Endpoint, result: ExchangeResult
     ) -> Attempt:
-        head = exchanged.head
+        head = result.head
         now_ms = self._clock.monotonic_ms()
-        latency_ms = now_ms - exchanged.sent_ms
+        latency_ms = now_ms - result.sent_ms
         self._first_byte_times(call).add(latency_ms)
         answer = BackendAnswer(
             head,
-            exchanged.connection,
+            result.connection,
             _address_of(endpoint),
             self._connections,
             has_body(call.method, head.message.code),
@@ -209,7 +209,7 @@
             latency_ms,
             answer,
             headers.RETRIED in answer.headers,
-            exchanged.sent_ms,
+            result.sent_ms,
         )
 
     def _make_failed_attempt(self, kind: OutcomeKind, started_ms: float) -> Attempt:
--- a/azurestep/traffic/directory.py
+++ b/azurestep/traffic/directory.py
@@ -66,7 +66,7 @@
         self._stale: set[str] = set()
         self._endpoints: dict[str, tuple[Endpoint, ...]] = {}
         self._first_seen_ms: dict[EndpointKey, float] = {}
-        self._has_started = False
+        self._has_endpoints = False
 
     @property
     def is_stale(self) -> bool:
@@ -100,7 +100,7 @@
             )
             self._remove_departed(service, endpoints[service])
         self._endpoints = endpoints
-        self._has_started = self._has_started or bool(endpoints)
+        self._has_endpoints = self._has_endpoints or bool(endpoints)
         return Directory(endpoints, changed)
 
     def servers(self, service: str) -> Iterator[PlacedServer]:
@@ -131,7 +131,7 @@
 
     def _announced_ms(self, now_ms: float) -> float:
         # Right after its start the node can't know which servers are new.
-        return now_ms if self._has_started else float("-inf")
+        return now_ms if self._has_endpoints else float("-inf")
 
     def _placed_of(self, update: Update) -> Iterator[PlacedServer]:
         if isinstance(update, MemberState) and update.status in LIVE:
--- a/azurestep/traffic/forward.py
+++ b/azurestep/traffic/forward.py
@@ -100,9 +100,9 @@
             pool.retry_budget.earn()
         if not pool.quarantine.active:
             return None
-        standing = pool.quarantine.status_of(call.fingerprint, now_ms)
-        call.is_suspect = standing is QuarantineStatus.SUSPECT
-        if standing is not QuarantineStatus.REFUSED:
+        status = pool.quarantine.status_of(call.fingerprint, now_ms)
+        call.is_suspect = status is QuarantineStatus.SUSPECT
+        if status is not QuarantineStatus.REFUSED:
             return None
         events.emit(
             events.REQUEST_QUARANTINED,
@@ -255,14 +255,14 @@
             return None
         timeout_ms = call.match.timeout_ms
         # A resumption gets the full timeout again: bodies may outlast the deadline.
-        rest = attrs.evolve(
+        resumed_call = attrs.evolve(
             call,
             arrived_ms=now_ms,
             budget=attrs.evolve(call.budget, remaining_ms=timeout_ms),
         )
         decision = await pool.acquire(
             RequestArrived(
-                call.match.priority, now_ms, rest.deadline_ms, tuple(call.tried)
+                call.match.priority, now_ms, resumed_call.deadline_ms, tuple(call.tried)
             )
         )
         if isinstance(decision, Refused):
@@ -272,7 +272,7 @@
             "If-Range": requested.if_range,
         }
         attempt = await self._send(
-            pool, rest, decision.ticket, decision.endpoint, extra
+            pool, resumed_call, decision.ticket, decision.endpoint, extra
         )
         sent = SentAttempt(pool, decision.ticket, decision.endpoint, attempt)
         if attempt.response is None or attempt.kind is not OutcomeKind.SUCCESS:
--- a/tests/test_traffic_retries.py
+++ b/tests/test_traffic_retries.py
@@ -133,13 +133,13 @@
     http, start_backend_server, start_traffic
 ):
     servers = [await start_backend_server() for _ in range(2)]
-    learner = await start_traffic(*(server.address.port for server in servers))
-    await fetch(http, f"{learner.url}/poison")
+    rig = await start_traffic(*(server.address.port for server in servers))
+    await fetch(http, f"{rig.url}/poison")
     call_fingerprint = await _fingerprint_of(http, start_backend_server, start_traffic)
     deaths = tuple(EndpointKey("127.0.0.1", port, 1) for port in (1, 2))
     update = QuarantineUpdate(call_fingerprint, deaths, 60_000.0)
-    learner.traffic.proxy.merge_quarantine(QuarantineReport("catalogue", [update]))
-    status, headers, _ = await fetch(http, f"{learner.url}/poison")
+    rig.traffic.proxy.merge_quarantine(QuarantineReport("catalogue", [update]))
+    status, headers, _ = await fetch(http, f"{rig.url}/poison")
     assert (status, headers["Azurestep-Reason"]) == (503, "quarantined")
 
 
