--- a/azurestep/cli/commands/files.py
+++ b/azurestep/cli/commands/files.py
@@ -4,7 +4,7 @@
 
 from returns.result import Failure, Result, Success
 
-from ...config.validate import DOCUMENT_MAXIMUM_BYTES
+from ...config.validate import MAX_DOCUMENT_BYTES
 from ...faults import Fault
 
 
@@ -16,7 +16,7 @@
     """
     try:
         with path.open("rb") as stream:
-            return Success(stream.read(DOCUMENT_MAXIMUM_BYTES + 1))
+            return Success(stream.read(MAX_DOCUMENT_BYTES + 1))
     except OSError as error:
         return Failure(
             Fault("$", f"can't be read: {error.strerror}", "name a readable file")
--- a/azurestep/config/changes.py
+++ b/azurestep/config/changes.py
@@ -5,7 +5,13 @@
 import orjson
 
 from .document import Document, EntryKey, Section, canonical_json
-from .records import Change, EditEntries, ReplaceDocument, SwitchPreset, document_from
+from .records import (
+    Change,
+    EditEntries,
+    ReplaceDocument,
+    SwitchPreset,
+    document_from_entries,
+)
 
 FLEET_KEY = EntryKey(Section.FLEET, "")
 
@@ -18,7 +24,7 @@
 
 @apply_change.register
 def _replace(change: ReplaceDocument, document: Document) -> Document:
-    return document_from(change.entries)
+    return document_from_entries(change.entries)
 
 
 @apply_change.register
--- a/azurestep/config/document.py
+++ b/azurestep/config/document.py
@@ -85,7 +85,7 @@
         return Document(entries)
 
 
-def document_of(plain: Mapping[str, Any]) -> Document:
+def document_from_dict(plain: Mapping[str, Any]) -> Document:
     """Build a document from the JSON form of a configuration.
 
     Entries that have no name get their index, so that validation can say where
@@ -103,7 +103,7 @@
     return Document(entries)
 
 
-def plain_of(document: Document) -> dict[str, Any]:
+def document_to_dict(document: Document) -> dict[str, Any]:
     """Return the JSON form of a document, lists sorted by name."""
     plain: dict[str, Any] = {section.field: [] for section in LISTS}
     for key in sorted(document.entries):
--- a/azurestep/config/fold.py
+++ b/azurestep/config/fold.py
@@ -31,7 +31,7 @@
     Filler,
     Publication,
     decode_record,
-    document_from,
+    document_from_entries,
     format_of,
 )
 from .validate import validate
@@ -97,7 +97,7 @@
         """Whether a checkpoint or a peer's snapshot is needed to go on."""
         return self._seeking_from is not None
 
-    def take(self, page: Page) -> list[FoldEvent]:
+    def apply_page(self, page: Page) -> list[FoldEvent]:
         """Take one answer of the log to a read from ``self.next_offset``."""
         if page.next_offset < page.from_offset:
             return self._note_regression(page.next_offset)
@@ -275,7 +275,7 @@
     if not checkpoint.version <= checkpoint.as_of < offset:
         return None
     try:
-        document = document_from(checkpoint.entries)
+        document = document_from_entries(checkpoint.entries)
     except ValueError:
         return None
     result = validate(document)
--- a/azurestep/config/presets.py
+++ b/azurestep/config/presets.py
@@ -18,7 +18,7 @@
     )
 
 
-def effective(configuration: Configuration) -> Configuration:
+def apply_active_preset(configuration: Configuration) -> Configuration:
     """Return the configuration with the active preset laid over it.
 
     Examples
@@ -27,7 +27,7 @@
     >>> peak = Preset("peak", routes=[RoutePatch("bulk", enabled=False)])
     >>> route = Route("bulk", "catalogue")
     >>> base = Configuration(1, "peak", [Service("catalogue")], [route], [peak])
-    >>> effective(base).routes[0].enabled
+    >>> apply_active_preset(base).routes[0].enabled
     False
     """
     preset = active_preset(configuration)
--- a/azurestep/config/records.py
+++ b/azurestep/config/records.py
@@ -134,7 +134,7 @@
     ]
 
 
-def document_from(entries: list[Entry]) -> Document:
+def document_from_entries(entries: list[Entry]) -> Document:
     """Build a document from entries on the wire."""
     return Document({entry.key: entry.body.encode() for entry in entries})
 
--- a/azurestep/config/validate.py
+++ b/azurestep/config/validate.py
@@ -14,11 +14,18 @@
 
 from ..faults import Fault
 from ..shape import find_faults, show
-from .document import LISTS, Document, EntryKey, Section, document_of, plain_of
+from .document import (
+    LISTS,
+    Document,
+    EntryKey,
+    Section,
+    document_from_dict,
+    document_to_dict,
+)
 from .model import Configuration
 from .rules import check_configuration
 
-DOCUMENT_MAXIMUM_BYTES = 4 * 1024 * 1024
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
 DEPTH_MAXIMUM = 16
 ENTRIES_MAXIMUM = 20_000
 
@@ -43,7 +50,7 @@
     faults = find_faults(plain, Configuration)
     if faults:
         return Failure(tuple(faults))
-    document = document_of(plain)
+    document = document_from_dict(plain)
     result = _structure(plain, STRICT)
     if isinstance(result, Failure):
         return Failure(result.failure())
@@ -53,10 +60,10 @@
 
 def parse_json(raw: bytes) -> Result[dict[str, Any], Faults]:
     """Parse bounded JSON text whose root is an object."""
-    if len(raw) > DOCUMENT_MAXIMUM_BYTES:
+    if len(raw) > MAX_DOCUMENT_BYTES:
         return _failure(
             "$",
-            f"{len(raw)} bytes are more than {DOCUMENT_MAXIMUM_BYTES}",
+            f"{len(raw)} bytes are more than {MAX_DOCUMENT_BYTES}",
             "publish the parts as separate edits",
         )
     try:
@@ -99,7 +106,7 @@
     malformed = tuple(_check_entries(document))
     if malformed:
         return Failure(malformed)
-    result = _structure(plain_of(document), TOLERANT)
+    result = _structure(document_to_dict(document), TOLERANT)
     if isinstance(result, Failure):
         return result
     faults = tuple(check_configuration(result.unwrap()))
--- a/azurestep/control/spread.py
+++ b/azurestep/control/spread.py
@@ -133,7 +133,7 @@
         steps in if it does not come.
         """
         before = self.fold.state
-        events = self.fold.take(page)
+        events = self.fold.apply_page(page)
         outputs: list[Output] = [Folded(event) for event in events]
         if self.fold.state.version == before.version:
             return outputs
--- a/azurestep/node/once.py
+++ b/azurestep/node/once.py
@@ -178,7 +178,7 @@
 
     @_take.register
     def _(self, message: OwnershipAllowed) -> None:
-        self._decision.serve(KEY_SCOPE)
+        self._decision.set_service(KEY_SCOPE)
 
     @_take.register
     def _(self, message: OwnerMessageReceived) -> None:
--- a/azurestep/once/decision.py
+++ b/azurestep/once/decision.py
@@ -91,7 +91,7 @@
         self.claims = ClaimKeeper(self.node, self.service, self.settings, self.random)
         self.handovers = HandoverKeeper(self.settings, self.owner, self.claims)
 
-    def serve(self, service: str) -> None:
+    def set_service(self, service: str) -> None:
         """Name the service whose slots this node may own from now on."""
         self.service = service
         self.claims.service = service
@@ -176,7 +176,7 @@
     @_handle.register
     def _(self, message: LogRecordsRead, now: Moment) -> list[Output]:
         was_complete = self.fold.complete
-        changed = self.fold.read(
+        changed = self.fold.apply_entries(
             message.from_offset, message.entries, message.next_offset
         )
         self._has_read = True
--- a/azurestep/once/fold.py
+++ b/azurestep/once/fold.py
@@ -72,7 +72,7 @@
     _buffer: list[_Read] = attrs.field(factory=list)
     _buffer_start: int = 0
 
-    def read(
+    def apply_entries(
         self, from_offset: int, entries: tuple[LogEntry, ...], next_offset: int
     ) -> set[SlotId]:
         """Fold the records of ``from_offset`` up to ``next_offset``.
--- a/azurestep/operations/audit_reader.py
+++ b/azurestep/operations/audit_reader.py
@@ -38,7 +38,7 @@
     )
     fold = OwnershipFold(next_offset=FIRST_OFFSET)
     if entries:
-        fold.read(first_offset, entries, entries[-1].offset + 1)
+        fold.apply_entries(first_offset, entries, entries[-1].offset + 1)
     return fold
 
 
--- a/azurestep/operations/node_client.py
+++ b/azurestep/operations/node_client.py
@@ -8,7 +8,7 @@
 import orjson
 
 from ..config.document import Document
-from ..config.records import Entry, document_from
+from ..config.records import Entry, document_from_entries
 from ..control.link import LinkCounters
 from ..errors import NodeUnreachableError
 from ..node.messages import NodeStatus
@@ -56,7 +56,10 @@
         plain = await self._get("/v1/configuration")
         entries = CONVERTER.structure(plain["entries"], list[Entry])
         return HeldConfiguration(
-            plain["version"], plain["as_of"], plain["hash"], document_from(entries)
+            plain["version"],
+            plain["as_of"],
+            plain["hash"],
+            document_from_entries(entries),
         )
 
     async def drain(self) -> None:
--- a/azurestep/operations/publisher.py
+++ b/azurestep/operations/publisher.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from ..config.delta import make_delta, make_snapshot
-from ..config.document import Document, plain_of
+from ..config.document import Document, document_to_dict
 from ..config.fold import Accepted, ConfigurationFold, Refused
 from ..config.records import (
     STREAM,
@@ -182,7 +182,7 @@
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             page = result.unwrap()
-            for event in fold.take(page):
+            for event in fold.apply_page(page):
                 if isinstance(event, Accepted | Refused) and event.id == id:
                     return Success(_verdict_on(event, fold, winner))
                 if isinstance(event, Accepted):
@@ -248,11 +248,11 @@
 
 
 def _active_preset_of(document: Document) -> str:
-    return str(plain_of(document).get("active_preset", ""))
+    return str(document_to_dict(document).get("active_preset", ""))
 
 
 def _require_preset(held: HeldConfiguration, preset: str) -> None:
-    names = [preset["name"] for preset in plain_of(held.document)["presets"]]
+    names = [preset["name"] for preset in document_to_dict(held.document)["presets"]]
     if preset in names:
         return
     raise ConfigurationError(
--- a/azurestep/traffic/table.py
+++ b/azurestep/traffic/table.py
@@ -9,7 +9,7 @@
 import attrs
 
 from ..config.model import ClassShares, Configuration, Priority, Route, Service
-from ..config.presets import active_preset, effective
+from ..config.presets import active_preset, apply_active_preset
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
 ANY_HOST = "*"
@@ -70,7 +70,7 @@
     """
 
     def __init__(self, version: int, configuration: Configuration) -> None:
-        in_force = effective(configuration)
+        in_force = apply_active_preset(configuration)
         self.version = version
         self.preset: str = configuration.active_preset
         self.shares: ClassShares = active_preset(configuration).class_shares
--- a/bench/fake_platform.py
+++ b/bench/fake_platform.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from azurestep.config.document import Section, canonical_json, document_of
+from azurestep.config.document import Section, canonical_json, document_from_dict
 from azurestep.config.records import (
     Change,
     EditEntries,
@@ -56,7 +56,7 @@
 
 def _change(offset: int) -> Change:
     if offset == 1:
-        return ReplaceDocument(entries_of(document_of(PLAIN)))
+        return ReplaceDocument(entries_of(document_from_dict(PLAIN)))
     service = {"name": "catalogue", "timeout_ms": 1000 + offset}
     body = canonical_json(service).decode()
     return EditEntries([Entry(Section.SERVICES.value, "catalogue", body)])
--- a/bench/generator.py
+++ b/bench/generator.py
@@ -4,7 +4,12 @@
 
 import orjson
 
-from azurestep.config.document import Document, EntryKey, canonical_json, document_of
+from azurestep.config.document import (
+    Document,
+    EntryKey,
+    canonical_json,
+    document_from_dict,
+)
 
 TARGET_SERVICES = 73
 ROUTES_PER_SERVICE = 3
@@ -32,7 +37,7 @@
         for name in names
         for index in range(ROUTES_PER_SERVICE)
     ]
-    return document_of(
+    return document_from_dict(
         {
             "format": 1,
             "active_preset": PRESETS[0],
--- a/bench/once_fleet.py
+++ b/bench/once_fleet.py
@@ -91,7 +91,7 @@
         )
         fold = OwnershipFold()
         fold.next_offset = FIRST_OFFSET
-        fold.read(FIRST_OFFSET, entries, page.next_offset)
+        fold.apply_entries(FIRST_OFFSET, entries, page.next_offset)
         found = {
             slot: fold.state(SlotId(KEY_SCOPE, slot)).covering(now_ms())
             for slot in range(SLOTS)
--- a/bench/races.py
+++ b/bench/races.py
@@ -22,7 +22,12 @@
 import docopt
 import orjson
 
-from azurestep.config.document import EntryKey, Section, canonical_json, document_of
+from azurestep.config.document import (
+    EntryKey,
+    Section,
+    canonical_json,
+    document_from_dict,
+)
 from azurestep.config.fold import Accepted, ConfigurationFold, FoldState
 from azurestep.config.records import (
     EditEntries,
@@ -138,7 +143,7 @@
     """Run one race to its end."""
     source = random.Random(seed)
     fold = ConfigurationFold()
-    first = ReplaceDocument(entries_of(document_of(PLAIN)))
+    first = ReplaceDocument(entries_of(document_from_dict(PLAIN)))
     _append(fold, Publication("first", 0, "operator", first))
     waiting = list(range(race.operators, race.edits))
     queue = [
@@ -184,7 +189,7 @@
     offset = fold.next_offset
     value = orjson.loads(encode_record(publication))
     page = Page(1, offset + 1, [LogRecord(offset, 0, value)], offset)
-    return any(isinstance(event, Accepted) for event in fold.take(page))
+    return any(isinstance(event, Accepted) for event in fold.apply_page(page))
 
 
 def run_all(edits: int) -> list[Outcome]:
--- a/bench/trace.py
+++ b/bench/trace.py
@@ -116,7 +116,7 @@
         asked = {"from_offset": self._fold.next_offset, **step.fields}
         page = CONVERTER.structure(asked, Page)
         records = [LogRecord(r.offset, r.time_ms, r.value) for r in page.records]
-        events = self._fold.take(attrs.evolve(page, records=records))
+        events = self._fold.apply_page(attrs.evolve(page, records=records))
         state = self._fold.state
         outputs = [_plain(event) for event in events]
         return [*outputs, {"kind": "State", "version": state.version}]
--- a/tests/fixtures_cli.py
+++ b/tests/fixtures_cli.py
@@ -72,7 +72,7 @@
 
     async def follow(self) -> None:
         page = (await self.client.read(STREAM, self.fold.next_offset)).unwrap()
-        self.fold.take(page)
+        self.fold.apply_page(page)
 
     async def handle_status(self, request: web.Request) -> web.Response:
         if not self.frozen:
--- a/tests/fixtures_fold.py
+++ b/tests/fixtures_fold.py
@@ -1,7 +1,12 @@
 import orjson
 import pytest
 
-from azurestep.config.document import EntryKey, Section, canonical_json, document_of
+from azurestep.config.document import (
+    EntryKey,
+    Section,
+    canonical_json,
+    document_from_dict,
+)
 from azurestep.config.fold import ConfigurationFold
 from azurestep.config.records import (
     Checkpoint,
@@ -28,7 +33,7 @@
 
 
 def initial_change():
-    return ReplaceDocument(entries_of(document_of(plain_configuration())))
+    return ReplaceDocument(entries_of(document_from_dict(plain_configuration())))
 
 
 def timeout_change(timeout_ms, **unknown):
@@ -83,7 +88,7 @@
         events = []
         for _ in range(FEED_MAXIMUM_PAGES):
             page = self.page(fold.next_offset, limit)
-            events.extend(fold.take(page))
+            events.extend(fold.apply_page(page))
             if not page.records or fold.is_halted:
                 return events
         raise AssertionError("the fold reads the same records for ever")
--- a/tests/fixtures_world.py
+++ b/tests/fixtures_world.py
@@ -160,7 +160,7 @@
             page = (await log.read(STREAM, fold.next_offset)).unwrap()
             if not page.records:
                 return fold, outcomes
-            for event in fold.take(page):
+            for event in fold.apply_page(page):
                 if isinstance(event, Accepted | Refused):
                     outcomes.setdefault(event.id, type(event).__name__)
 
--- a/tests/test_audit_queries.py
+++ b/tests/test_audit_queries.py
@@ -144,7 +144,7 @@
         "c", NodeId("a", "run"), "licensing", 16, (1,), KEY_MS - 10, KEY_MS + 10
     )
     held = OwnershipFold(next_offset=1)
-    held.read(1, (LogEntry(1, encode_record(claim)),), 2)
+    held.apply_entries(1, (LogEntry(1, encode_record(claim)),), 2)
     return held
 
 
--- a/tests/test_audit_service.py
+++ b/tests/test_audit_service.py
@@ -123,7 +123,7 @@
         await self.client.append_attempt(STREAM, body)
         offset = self.control.fold.next_offset
         page = (await self.client.read(STREAM, offset)).unwrap()
-        self.control.fold.take(page)
+        self.control.fold.apply_page(page)
 
     async def trail(self) -> Trail:
         return await read_whole_trail(self.client)
--- a/tests/test_audit_verdicts.py
+++ b/tests/test_audit_verdicts.py
@@ -11,7 +11,7 @@
     PublicationRefused,
 )
 from azurestep.audit.verdicts import Head, derive_verdicts, head_of
-from azurestep.config.document import document_of
+from azurestep.config.document import document_from_dict
 from azurestep.config.fold import Accepted, ConfigurationFold, Refused
 from azurestep.config.records import (
     Checkpoint,
@@ -36,11 +36,11 @@
 def history() -> list[LogRecord]:
     """A random log of races, faulty edits, checkpoints and foreign records."""
     source = random.Random(5)
-    document = document_of(orjson.loads(EXAMPLE.read_bytes()))
+    document = document_from_dict(orjson.loads(EXAMPLE.read_bytes()))
     first = Publication("p1", 0, "ana", ReplaceDocument(entries_of(document)))
     records = [record(1, first)]
     fold = ConfigurationFold()
-    fold.take(Page(1, 2, records))
+    fold.apply_page(Page(1, 2, records))
     for offset in range(2, 120):
         base = fold.state.version - source.choice([0, 0, 0, 1])
         change: Any = SwitchPreset(source.choice(["peak", "ordinary", "carnival"]))
@@ -57,7 +57,7 @@
             made = record(
                 offset, Checkpoint("c", offset - 1, state.version, entries, "x")
             )
-        fold.take(Page(1, offset + 1, [made]))
+        fold.apply_page(Page(1, offset + 1, [made]))
         records.append(made)
     return records
 
@@ -69,7 +69,7 @@
     fold = ConfigurationFold()
     decided: dict[int, bool] = {}
     for made in history:
-        for event in fold.take(Page(1, made.offset + 1, [made])):
+        for event in fold.apply_page(Page(1, made.offset + 1, [made])):
             if isinstance(event, Accepted):
                 decided[event.version] = True
             elif isinstance(event, Refused):
--- a/tests/test_bench_results.py
+++ b/tests/test_bench_results.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from azurestep.config.document import plain_of
+from azurestep.config.document import document_to_dict
 from azurestep.config.validate import validate
 from bench.convergence import summarize
 from bench.fleet import Process, ProcessEndedError, free_ports, wait_for_port
@@ -43,7 +43,7 @@
 
 def test_generated_configuration_is_valid_and_of_the_target_size():
     document = generate(1)
-    assert len(plain_of(document)["services"]) == TARGET_SERVICES
+    assert len(document_to_dict(document)["services"]) == TARGET_SERVICES
     validate(document).unwrap()
     assert document == generate(1)
 
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -131,7 +131,7 @@
     fake_log.feed(fast)
     slow.adopt(snapshot_of(fast))
 
-    assert slow.take(overtaken) == []
+    assert slow.apply_page(overtaken) == []
 
 
 def test_checkpoint_after_a_restore_gives_newcomers_what_is_in_force(fake_log):
@@ -194,7 +194,7 @@
     fake_log.publish("b", 2, timeout_change(1200))
     page = fake_log.page(fold.next_offset)
 
-    fold.take(Page(page.first_offset, page.next_offset, page.records[1:], 2))
+    fold.apply_page(Page(page.first_offset, page.next_offset, page.records[1:], 2))
 
     assert fold.next_offset == 2
     fake_log.feed(fold)
--- a/tests/test_fold_racing_operators.py
+++ b/tests/test_fold_racing_operators.py
@@ -48,7 +48,7 @@
         if page is None:
             await asyncio.sleep(0.02)
             continue
-        for event in fold.take(page):
+        for event in fold.apply_page(page):
             if isinstance(event, Accepted | Refused):
                 decided[event.id] = type(event)
         versions.append(fold.state.version)
@@ -133,11 +133,11 @@
     await publisher.publish(initial_change(), held, deadline_ms(environment))
     for timeout_ms in (1100, 1200):
         page = (await client.read(STREAM, node.fold.next_offset)).unwrap()
-        node.fold.take(page)
+        node.fold.apply_page(page)
         change = timeout_change(timeout_ms)
         held = await node.configuration()
         await publisher.publish(change, held, deadline_ms(environment))
-    node.fold.take((await client.read(STREAM, node.fold.next_offset)).unwrap())
+    node.fold.apply_page((await client.read(STREAM, node.fold.next_offset)).unwrap())
     log.restore(2)
     return publisher, node, client, environment
 
@@ -166,7 +166,7 @@
 
     newcomer = ConfigurationFold()
     for fold in (node.fold, newcomer, newcomer):
-        fold.take((await client.read(STREAM, fold.next_offset)).unwrap())
+        fold.apply_page((await client.read(STREAM, fold.next_offset)).unwrap())
     assert verdict.unwrap().is_accepted
     assert newcomer.state.version == node.fold.state.version > before
     assert newcomer.state.document.hash == node.fold.state.document.hash
--- a/tests/test_fold_readers.py
+++ b/tests/test_fold_readers.py
@@ -106,11 +106,11 @@
 
     @rule(fold=folds, page=pages)
     def answer(self, fold, page):
-        fold.take(page)
+        fold.apply_page(page)
 
     @rule(fold=folds, limit=st.integers(1, 5))
     def read(self, fold, limit):
-        fold.take(self.log.page(fold.next_offset, limit))
+        fold.apply_page(self.log.page(fold.next_offset, limit))
 
     @rule(fold=folds, peer=folds, old=states)
     def hear_a_peer(self, fold, peer, old):
--- a/tests/test_once_decision.py
+++ b/tests/test_once_decision.py
@@ -242,14 +242,14 @@
 
 
 def test_slots_of_a_former_service_are_handed_over_under_its_name(pair):
-    pair.nodes[0].serve("catalogue")
+    pair.nodes[0].set_service("catalogue")
     pair.send(0, m.StopRequested())
     assert m.Stopped(0) in pair.advance(100)
     assert slots_of(pair, 1) == list(range(32))
 
 
 def test_node_without_a_service_appends_nothing(pair):
-    pair.nodes[0].serve("")
+    pair.nodes[0].set_service("")
     pair.append(Claim("x", NodeId("c", "c1"), "other", 1, (0,), 0, 1))
     pair.elapsed_ms += 10 * pair.nodes[0].settings.checkpoint_interval_ms
     assert not find(pair.handle(0, m.Tick()), m.AppendRecord)
--- a/tests/test_once_fold.py
+++ b/tests/test_once_fold.py
@@ -49,7 +49,7 @@
 
 def fold_of(records) -> OwnershipFold:
     fold = OwnershipFold()
-    fold.read(0, log_of(records), len(records))
+    fold.apply_entries(0, log_of(records), len(records))
     return fold
 
 
@@ -59,7 +59,7 @@
     fold = OwnershipFold()
     gaps: set[int] = set()
     for offset, entry in enumerate(log_of(records)):
-        fold.read(offset, (entry,), offset + 1)
+        fold.apply_entries(offset, (entry,), offset + 1)
         intervals = fold.state(SLOT).intervals
         for earlier, later in zip(intervals, intervals[1:], strict=False):
             assert earlier.end_ms <= later.start_ms
@@ -78,7 +78,7 @@
     checkpoint = fold_of(records[: as_of + 1]).checkpoint("k")
     whole = [*records[:at], checkpoint, *records[at:]]
     newcomer = OwnershipFold()
-    newcomer.read(start, log_of(whole)[start:], len(whole))
+    newcomer.apply_entries(start, log_of(whole)[start:], len(whole))
     assert newcomer.complete
     assert newcomer.states == fold_of(whole).states
     assert newcomer.slot_counts == fold_of(whole).slot_counts
@@ -90,7 +90,7 @@
     checkpoint = fold_of([early]).checkpoint("k")
     whole = log_of([early, late, checkpoint])
     newcomer = OwnershipFold()
-    newcomer.read(2, whole[2:], 3)
+    newcomer.apply_entries(2, whole[2:], 3)
     assert not newcomer.complete
     assert not newcomer.is_gap(SLOT, 150)
     assert newcomer.state(SLOT).covering(250) is None
@@ -102,10 +102,10 @@
     whole = [first, second]
     fold = fold_of(whole)
     assert fold.is_gap(SLOT, 150)
-    fold.read(5, (), 5)
+    fold.apply_entries(5, (), 5)
     assert not fold.complete and not fold.is_gap(SLOT, 150)
     checkpoint = attrs.evolve(fold_of(whole).checkpoint("k"), as_of=4)
-    fold.read(5, log_of([checkpoint], 5), 6)
+    fold.apply_entries(5, log_of([checkpoint], 5), 6)
     assert fold.complete and fold.is_gap(SLOT, 150)
 
 
@@ -160,14 +160,14 @@
 
 def test_record_of_a_newer_format_ends_the_proofs():
     fold = fold_of([Claim("x", A, SERVICE, 1, (0,), 0, 100)])
-    fold.read(1, (LogEntry(1, b'{"format":99,"kind":"claim"}'),), 2)
+    fold.apply_entries(1, (LogEntry(1, b'{"format":99,"kind":"claim"}'),), 2)
     assert not fold.complete
 
 
 @pytest.mark.parametrize("raw", [b"", b"[]", b"{}", b'{"format":1,"kind":"claim"}'])
 def test_malformed_record_is_ignored_by_every_reader(raw):
     fold = fold_of([])
-    fold.read(0, (LogEntry(0, raw),), 1)
+    fold.apply_entries(0, (LogEntry(0, raw),), 1)
     assert fold.complete and fold.next_offset == 1
 
 
@@ -192,16 +192,16 @@
 def test_hole_inside_a_read_ends_the_proofs():
     whole = log_of([Claim("x", A, SERVICE, 1, (0,), 0, 100)] * 3)
     fold = OwnershipFold()
-    fold.read(0, (whole[0], whole[2]), 3)
+    fold.apply_entries(0, (whole[0], whole[2]), 3)
     assert not fold.complete
     fold = OwnershipFold()
-    fold.read(0, whole[:2], 3)
+    fold.apply_entries(0, whole[:2], 3)
     assert not fold.complete
 
 
 def test_slot_count_outlives_lost_records():
     fold = fold_of([Claim("x", A, SERVICE, 1, (0,), 0, 100)])
-    fold.read(5, (), 5)
+    fold.apply_entries(5, (), 5)
     assert fold.slot_counts == {SERVICE: 1}
 
 
@@ -210,5 +210,5 @@
     fold = fold_of([first])
     fold.regress()
     old = fold_of([]).checkpoint("k")
-    fold.read(1, log_of([old], 1), 2)
+    fold.apply_entries(1, log_of([old], 1), 2)
     assert not fold.complete
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -411,9 +411,9 @@
 
 
 def test_document_hash_and_plain_form() -> None:
-    document = configuration.document_from(ENTRIES)
+    document = configuration.document_from_entries(ENTRIES)
     check("document_hash", document.hash)
-    check("document_plain", documents.plain_of(document))
+    check("document_plain", documents.document_to_dict(document))
     assert configuration.entries_of(document) == ENTRIES
 
 
@@ -535,8 +535,8 @@
 
 
 def test_deltas() -> None:
-    base = configuration.document_from(ENTRIES[:1])
-    target = configuration.document_from(ENTRIES[1:])
+    base = configuration.document_from_entries(ENTRIES[:1])
+    target = configuration.document_from_entries(ENTRIES[1:])
     check("delta", attrs.astuple(make_delta(base, target, 6, 8)))
     check("snapshot", attrs.astuple(make_snapshot(target, 6, 8)))
 
@@ -1167,7 +1167,7 @@
         assert await client.counters() == COUNTERS
         found = await client.configuration()
         await client.drain()
-    document = configuration.document_from(ENTRIES)
+    document = configuration.document_from_entries(ENTRIES)
     assert attrs.astuple(found, recurse=False) == (5, 9, "00ff", document)
     check("operator_calls", recorder.short)
 
--- a/tests/test_validate.py
+++ b/tests/test_validate.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from returns.result import Failure, Success
 
-from azurestep.config.document import Document, EntryKey, Section, document_of
+from azurestep.config.document import Document, EntryKey, Section, document_from_dict
 from azurestep.config.validate import read_document, validate
 
 from .fixtures_cli import EXAMPLE
@@ -85,7 +85,7 @@
 
 
 def test_entry_must_hold_its_own_name() -> None:
-    document = document_of(orjson.loads(EXAMPLE.read_bytes()))
+    document = document_from_dict(orjson.loads(EXAMPLE.read_bytes()))
     body = document.entries[EntryKey(Section.SERVICES, "catalogue")]
     hidden = document.with_changes({EntryKey(Section.SERVICES, "other"): body}, [])
     assert isinstance(validate(document), Success)
@@ -95,6 +95,6 @@
 def test_unknown_fields_are_kept_on_the_log_and_refused_in_a_file() -> None:
     plain = orjson.loads(EXAMPLE.read_bytes())
     plain["routes"][0]["colour"] = "red"
-    assert isinstance(validate(document_of(plain)), Success)
+    assert isinstance(validate(document_from_dict(plain)), Success)
     (fault,) = read_document(orjson.dumps(plain)).failure()
     assert fault.path == "$.routes[0].colour"
