--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -411,8 +411,8 @@
         try:
             self._on_timeout()
         except Exception as error:
-            name = self.caller.request_id
-            self.context.runtime.report_fault("timer", error, id=name)
+            request_id = self.caller.request_id
+            self.context.runtime.report_fault("timer", error, id=request_id)
             self.on_fault()
 
     def _on_timeout(self) -> None:
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -45,16 +45,20 @@
         context = self.context
         table = self.table()
         caller = read_caller(exchange.headers)
-        name = caller.request_id
+        request_id = caller.request_id
         if table is None or self.closed:
-            exchange.sink = Rejection(context.runtime, exchange, name, UNAVAILABLE)
+            exchange.sink = Rejection(
+                context.runtime, exchange, request_id, UNAVAILABLE
+            )
             return
         route = table.match(caller.host, exchange.target)
         if route is None:
-            exchange.sink = Rejection(context.runtime, exchange, name, NOT_FOUND)
+            exchange.sink = Rejection(context.runtime, exchange, request_id, NOT_FOUND)
             return
-        if not name:
-            exchange.sink = Rejection(context.runtime, exchange, name, BAD_REQUEST)
+        if not request_id:
+            exchange.sink = Rejection(
+                context.runtime, exchange, request_id, BAD_REQUEST
+            )
             return
         service = table.choose_service(route)
         attempt = context.identify_attempt(exchange, caller)
@@ -62,7 +66,7 @@
             exchange.sink = Rejection(
                 context.runtime,
                 exchange,
-                name,
+                request_id,
                 UNAVAILABLE,
                 Reason.PRESSURE,
                 route.name,
@@ -74,8 +78,8 @@
         exchange.sink = Call(context, exchange, caller, target, attempt)
 
     def _should_shed(self, service: str, priority: int) -> bool:
-        share = self.load_shedder.shed_ratio(service, priority)
-        return share > 0 and self.context.runtime.random.random() < share
+        ratio = self.load_shedder.shed_ratio(service, priority)
+        return ratio > 0 and self.context.runtime.random.random() < ratio
 
 
 @attrs.define(eq=False)
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -148,8 +148,8 @@
     def _contain(self, stream: RemoteStream | None, error: Exception) -> None:
         """Cancel the request whose handling failed; the others continue."""
         runtime = self.link.runtime
-        name = b"" if stream is None else stream.request_id
-        runtime.report_fault("link_out", error, id=name)
+        request_id = b"" if stream is None else stream.request_id
+        runtime.report_fault("link_out", error, id=request_id)
         if stream is not None:
             stream.cancel()
             runtime.run_guarded("call", stream.receiver.on_fault)
--- a/azurestep/mesh/links/incoming.py
+++ b/azurestep/mesh/links/server.py
@@ -33,7 +33,7 @@
 )
 from ..runtime import Runtime
 from .decoding import NO_STREAM, OF_CALLING_NODES, Decoder, Message
-from .outcome_forwarder import OutcomeForwarder
+from .remote_receiver import OutcomeForwarder
 
 PONG = encode(Kind.PONG)
 LATE_AFTER_MS = 100.0
@@ -177,8 +177,8 @@
         try:
             run.cancel()
         except Exception as error:
-            name = run.request.request_id
-            self.incoming_links.runtime.report_fault("link_in", error, id=name)
+            request_id = run.request.request_id
+            self.incoming_links.runtime.report_fault("link_in", error, id=request_id)
 
     def data_received(self, data: bytes) -> None:
         """Decode messages and handle them."""
@@ -200,8 +200,8 @@
         runtime = self.incoming_links.runtime
         run = self._runs.pop(stream_id, None)
         request = message if run is None else run.request
-        name = request.request_id if isinstance(request, Request) else b""
-        runtime.report_fault("link_in", error, id=name)
+        request_id = request.request_id if isinstance(request, Request) else b""
+        runtime.report_fault("link_in", error, id=request_id)
         if run is not None:
             runtime.run_guarded("run", run.cancel)
         if stream_id != NO_STREAM:
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -30,8 +30,8 @@
 from .knowledge.configuration import SOURCE_PEER, Configuration
 from .knowledge.configuration_watcher import ConfigurationWatcher
 from .knowledge.discovery import Discovery
-from .links.incoming import IncomingLink, IncomingLinks
 from .links.members import Members
+from .links.server import IncomingLink, IncomingLinks
 from .messages import PROTOCOL_VERSION, Hello, State
 from .runtime import Runtime
 from .settings import Address, MeshSettings, read_settings
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -10,7 +10,7 @@
 from .backend.inbound import Inbound
 from .callers.outbound import Outbound
 from .decisions.stopping import ShutdownPlan
-from .links.incoming import IncomingLinks
+from .links.server import IncomingLinks
 from .runtime import Runtime
 
 
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -15,8 +15,8 @@
     idle_probe_interval_ms,
 )
 from azurestep.mesh.knowledge.configuration import SOURCE_PEER, SOURCE_STORE
-from azurestep.mesh.links.incoming import IncomingLink, IncomingLinks
 from azurestep.mesh.links.link import UNRESPONSIVE_AFTER_MS
+from azurestep.mesh.links.server import IncomingLink, IncomingLinks
 from azurestep.mesh.messages import Kind, compress, decompress
 
 from .fixtures_mesh import MeshFleet, document
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -14,8 +14,8 @@
 from azurestep.mesh.links.connection import HANDLERS as CONNECTION_HANDLERS
 from azurestep.mesh.links.connection import PeerConnection, RemoteStream
 from azurestep.mesh.links.decoding import OF_CALLED_NODES, OF_CALLING_NODES, Decoder
-from azurestep.mesh.links.incoming import HANDLERS as INCOMING_HANDLERS
-from azurestep.mesh.links.incoming import IncomingLink
+from azurestep.mesh.links.server import HANDLERS as INCOMING_HANDLERS
+from azurestep.mesh.links.server import IncomingLink
 from azurestep.mesh.messages import (
     PROTOCOL_VERSION,
     Answer,
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -9,7 +9,7 @@
 
 from azurestep.mesh import events
 from azurestep.mesh.incarnation import Incarnation
-from azurestep.mesh.links.outcome_forwarder import OutcomeForwarder
+from azurestep.mesh.links.remote_receiver import OutcomeForwarder
 from azurestep.mesh.messages import Reason, Refusal, Request
 from azurestep.platform.topics import CONFIGURATION_KEY, OPERATOR_TOPIC
 from standins.signing_server import signed
