--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -20,7 +20,7 @@
 from .record import FIRST_FAILURE_STATUS, CallRecord
 
 MAX_NODES_TRIED = 4
-"""Nodes that one request is sent to at most, before it is refused."""
+"""Limit of the nodes that one request is sent to."""
 WITHDRAWAL_TIMEOUT_MS = 50.0
 """Longest wait past the deadline for a peer's reply whether the request has run."""
 SERVER_ERROR = 500
@@ -212,7 +212,7 @@
             self._uncount_unconfirmed_run()
 
     def _uncount_unconfirmed_run(self) -> None:
-        """Uncount a run that was counted when its peer became unresponsive."""
+        """Subtract a run that was counted when its peer became unresponsive."""
         self.record.runs -= 1
         self._unconfirmed_runs -= 1
 
@@ -304,7 +304,7 @@
         self._send_answer(answer)
 
     def _replace_error(self, answer: Answer, endpoint: Endpoint | None) -> bool:
-        """Let another run answer in place of an error; return whether one may."""
+        """Wait for another run instead of passing an error on, if one is possible."""
         retries = self._may_retry()
         if not retries and self._earlier_run is None:
             return False
--- a/azurestep/mesh/callers/former_run.py
+++ b/azurestep/mesh/callers/former_run.py
@@ -20,7 +20,7 @@
         """Handle the answer, or its head and first bytes."""
 
     def on_earlier_lost(self, run: "EarlierRun", may_have_run: bool) -> None:
-        """Handle the end of the run without an answer."""
+        """Handle that the run ended without an answer."""
 
 
 @attrs.define(eq=False)
@@ -51,11 +51,11 @@
         """Ignore; after the head, the call itself is the receiver."""
 
     def on_refusal(self, refusal: Refusal) -> None:
-        """Report the end of the run; a refused one may only have reached the server."""
+        """Report that the run was refused."""
         self.owner.on_earlier_lost(self, may_have_run=refusal.reached_backend)
 
     def on_failure(self, failure: Failure) -> None:
-        """Report the end of the run, which may have run."""
+        """Report that the run failed."""
         self.owner.on_earlier_lost(self, may_have_run=True)
 
     def on_credit(self, size: int) -> None:
@@ -68,5 +68,5 @@
         """Ignore; the request was retried already."""
 
     def on_fault(self) -> None:
-        """Report that an internal error ended the run, which may have run."""
+        """Report that an internal error ended the run."""
         self.owner.on_earlier_lost(self, may_have_run=True)
--- a/azurestep/mesh/callers/placement.py
+++ b/azurestep/mesh/callers/placement.py
@@ -40,7 +40,7 @@
         endpoint.own_in_flight += 1
 
     def release(self) -> Endpoint | None:
-        """Uncount the call at the current backend server, if any, and return it."""
+        """Clear the current backend server, if any, and return it."""
         endpoint, self.endpoint = self.endpoint, None
         if endpoint is not None:
             endpoint.own_in_flight -= 1
