--- a/azurestep/balancing/throttle.py
+++ b/azurestep/balancing/throttle.py
@@ -1,8 +1,8 @@
-"""Share of requests that a node lets through to an overloaded service.
+"""Load shedding by a share of the requests to an overloaded service.
 
-A limit in requests can't fall below one. Where very many nodes call a service,
-each with hardly one request in flight, only a share below one holds the
-overload back.
+A concurrency limit can't fall below one request. If many nodes call a service
+with about one request in flight each, only shedding a share of the requests
+reduces the load.
 """
 
 import math
@@ -10,22 +10,22 @@
 import attrs
 
 from ..config.model import Priority
-from .limiter import STRONGEST_DECREASE, LatencyWindow
+from .limiter import MIN_DECREASE_FACTOR, LatencyWindow
 from .messages import Outcome
 
-MINIMUM_SHARE = 0.05
-TOLERANCE = 3.0
-PATIENCE_MS = 1000.0
-RECOVERY_MS = 3000.0
-LARGEST_INCREASE = 2.0
-WINDOWS_TO_DECREASE = 2
-WEAKEST_DECREASE = 0.9
-MIX_CONSTANT_MS = 5000.0
+MIN_ADMITTED_RATIO = 0.05
+THROTTLE_LATENCY_TOLERANCE = 3.0
+MAX_WINDOW_AGE_MS = 1000.0
+INCREASE_TIME_CONSTANT_MS = 3000.0
+MAX_INCREASE_FACTOR = 2.0
+MIN_OVERLOADED_WINDOWS = 2
+MAX_DECREASE_FACTOR = 0.9
+MIX_TIME_CONSTANT_MS = 5000.0
 
 
 @attrs.define
 class ArrivalMix:
-    """Recent arrivals of each class, exponentially decayed."""
+    """Exponentially decayed number of arrivals of each class."""
 
     interactive: float = 0.0
     payment: float = 0.0
@@ -34,7 +34,7 @@
 
     def add(self, priority: Priority, now_ms: float) -> None:
         """Count one arrival."""
-        decay = math.exp((self.updated_ms - now_ms) / MIX_CONSTANT_MS)
+        decay = math.exp((self.updated_ms - now_ms) / MIX_TIME_CONSTANT_MS)
         self.interactive *= decay
         self.payment *= decay
         self.bulk *= decay
@@ -49,94 +49,102 @@
 
 @attrs.define
 class Throttle:
-    """Lets a share of all arrivals through, payment first and bulk last.
+    """Admits a share of all arrivals; bulk requests are shed first, payments last.
 
-    The share falls from the second window in a row whose answers are slow or
-    refused, since a single one may be chance, and rises with each other one. It
-    leaves the work to the concurrency limits where these bite.
+    The share falls from the second consecutive overloaded window on, since a
+    single one may be chance, and rises after any other window. It doesn't fall
+    while the concurrency limits are binding.
 
     Attributes
     ----------
-    share : float
-        Share of all arrivals let through, 0 to 1.
-    overloads : int
-        Overloaded windows in a row.
+    admitted_ratio : float
+        Share of all arrivals admitted, 0 to 1.
+    overloaded_windows : int
+        Consecutive overloaded windows.
+    window : LatencyWindow
+        Latencies since the last change.
+    mix : ArrivalMix
+        Recent arrivals by class.
     """
 
-    share: float = 1.0
-    overloads: int = 0
+    admitted_ratio: float = 1.0
+    overloaded_windows: int = 0
     window: LatencyWindow = attrs.field(
-        factory=lambda: LatencyWindow(TOLERANCE, PATIENCE_MS)
+        factory=lambda: LatencyWindow(THROTTLE_LATENCY_TOLERANCE, MAX_WINDOW_AGE_MS)
     )
     mix: ArrivalMix = attrs.field(factory=ArrivalMix)
 
-    def passes(self, priority: Priority, now_ms: float, drawn: float) -> bool:
-        """Return whether an arrival is let through.
+    def admits(self, priority: Priority, now_ms: float, random_value: float) -> bool:
+        """Return whether an arrival is admitted.
 
         Parameters
         ----------
         priority : Priority
-            Its class.
+            Class of the request.
         now_ms : float
-            Present time.
-        drawn : float
+            Current time.
+        random_value : float
             Random number from 0 to 1.
         """
         self.mix.add(priority, now_ms)
-        return self.share >= 1.0 or drawn < self.share_of(priority)
+        return self.admitted_ratio >= 1.0 or random_value < self.class_ratio(priority)
 
-    def share_of(self, priority: Priority) -> float:
-        """Return the share of a class that is let through."""
+    def class_ratio(self, priority: Priority) -> float:
+        """Return the share of a class that is admitted."""
         mix = self.mix
-        left = self.share * (mix.interactive + mix.payment + mix.bulk)
+        remaining = self.admitted_ratio * (mix.interactive + mix.payment + mix.bulk)
         if priority is Priority.PAYMENT:
-            return max(MINIMUM_SHARE, left / max(mix.payment, 1.0))
-        left -= mix.payment
+            return max(MIN_ADMITTED_RATIO, remaining / max(mix.payment, 1.0))
+        remaining -= mix.payment
         if priority is Priority.INTERACTIVE:
-            return max(MINIMUM_SHARE, left / max(mix.interactive, 1.0))
-        left -= mix.interactive
-        return max(MINIMUM_SHARE, left / max(mix.bulk, 1.0))
+            return max(MIN_ADMITTED_RATIO, remaining / max(mix.interactive, 1.0))
+        remaining -= mix.interactive
+        return max(MIN_ADMITTED_RATIO, remaining / max(mix.bulk, 1.0))
 
-    def collect(self, outcome: Outcome, now_ms: float) -> bool:
-        """Take a finished attempt into account; return whether to ``judge``.
+    def record(self, outcome: Outcome, now_ms: float) -> bool:
+        """Record a finished attempt; return whether the window is full.
 
         Parameters
         ----------
         outcome : Outcome
-            A success, timeout or refusal by the server.
+            A success, timeout or refusal by the backend server.
         now_ms : float
-            Present time.
+            Current time.
         """
         return self.window.add(outcome, 0, now_ms)
 
-    def judge(self, limited: bool, now_ms: float) -> None:
-        """Move the share by the full window and begin the next.
+    def update_ratio(self, limits_binding: bool, now_ms: float) -> None:
+        """Update the admitted ratio by the full window and start the next one.
 
         Parameters
         ----------
-        limited : bool
-            Whether the node's concurrency limits hold the overload back.
+        limits_binding : bool
+            Whether the concurrency limits already reduce the load.
         now_ms : float
-            Present time.
+            Current time.
         """
-        if limited or not self.window.overloaded():
-            self.overloads = 0
-            self.share = min(1.0, self.share * self._increase(now_ms))
+        if limits_binding or not self.window.is_overloaded():
+            self.overloaded_windows = 0
+            self.admitted_ratio = min(
+                1.0, self.admitted_ratio * self._increase_factor(now_ms)
+            )
         else:
-            self._count_overload()
+            self._record_overload()
         self.window.restart(now_ms)
 
-    def _count_overload(self) -> None:
-        self.overloads += 1
-        if self.overloads >= WINDOWS_TO_DECREASE:
-            self.share = max(MINIMUM_SHARE, self.share * self._decrease())
+    def _record_overload(self) -> None:
+        self.overloaded_windows += 1
+        if self.overloaded_windows >= MIN_OVERLOADED_WINDOWS:
+            self.admitted_ratio = max(
+                MIN_ADMITTED_RATIO, self.admitted_ratio * self._decrease_factor()
+            )
 
-    def _increase(self, now_ms: float) -> float:
-        age_ms = min(RECOVERY_MS, now_ms - self.window.begun_ms)
-        return min(LARGEST_INCREASE, math.exp(age_ms / RECOVERY_MS))
+    def _increase_factor(self, now_ms: float) -> float:
+        age_ms = min(INCREASE_TIME_CONSTANT_MS, now_ms - self.window.started_ms)
+        return min(MAX_INCREASE_FACTOR, math.exp(age_ms / INCREASE_TIME_CONSTANT_MS))
 
-    def _decrease(self) -> float:
+    def _decrease_factor(self) -> float:
         window = self.window
         if 2 * (window.refusals + window.timeouts) >= window.samples:
-            return STRONGEST_DECREASE
-        return window.decrease(WEAKEST_DECREASE)
+            return MIN_DECREASE_FACTOR
+        return window.decrease_factor(MAX_DECREASE_FACTOR)
--- a/azurestep/traffic/hedge.py
+++ b/azurestep/traffic/hedge.py
@@ -1,4 +1,4 @@
-"""A second try of a request on a new connection to the same backend server."""
+"""Hedged requests: a second attempt on a new connection to the same server."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,18 +8,18 @@
 from aiohttp.http_exceptions import HttpProcessingError
 
 from .connection import BackendConnection, Head
-from .connections import ConnectFailedError
+from .connection_pool import ConnectFailedError
 
 MS_PER_S = 1000
 
 
 class SupersededError(Exception):
-    """The answer came on the new connection first."""
+    """The new connection answered before the pooled one."""
 
 
 @attrs.frozen
-class Exchanged:
-    """Head of an answer, and the connection and time of its request."""
+class ExchangeResult:
+    """Head of an answer, with connection and time of its request."""
 
     head: Head
     connection: BackendConnection
@@ -28,41 +28,39 @@
 
 
 class Hedge:
-    """Watches a pooled connection and asks again on a new one when it is silent.
-
-    It costs a timer only until the bound passes.
+    """Sends a request on a new connection if a pooled one is unresponsive.
 
     Parameters
     ----------
-    doubted : BackendConnection
+    pooled : BackendConnection
         The pooled connection.
-    bound_ms : float
-        Time without a first byte after which it is doubted.
+    delay_ms : float
+        Time without a first byte after which the request is hedged.
     may_hedge : callable
-        Asks the budget; a denied hedge is asked for again after the bound.
+        Returns whether a hedge is allowed; called again after each delay.
     exchange : callable
         Sends the request on a new connection.
     """
 
     def __init__(
         self,
-        doubted: BackendConnection,
-        bound_ms: float,
+        pooled: BackendConnection,
+        delay_ms: float,
         may_hedge: Callable[[], bool],
-        exchange: Callable[[], Awaitable[Exchanged]],
+        exchange: Callable[[], Awaitable[ExchangeResult]],
     ) -> None:
-        self._result: Exchanged | None = None
-        self._doubted = doubted
-        self._bound_s = bound_ms / MS_PER_S
+        self._result: ExchangeResult | None = None
+        self._pooled = pooled
+        self._delay_s = delay_ms / MS_PER_S
         self._may_hedge = may_hedge
         self._exchange = exchange
         self._loop = asyncio.get_running_loop()
-        self._timer = self._loop.call_later(self._bound_s, self._begin)
+        self._timer = self._loop.call_later(self._delay_s, self._start)
         self._task: asyncio.Task[None] | None = None
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         if not self._may_hedge():
-            self._timer = self._loop.call_later(self._bound_s, self._begin)
+            self._timer = self._loop.call_later(self._delay_s, self._start)
             return
         self._task = self._loop.create_task(self._run())
 
@@ -71,10 +69,10 @@
             self._result = await self._exchange()
         except (ConnectFailedError, aiohttp.ClientError, HttpProcessingError, OSError):
             return
-        self._doubted.set_exception(SupersededError())
+        self._pooled.set_exception(SupersededError())
 
-    async def result_after_failure(self) -> Exchanged | None:
-        """Return the new connection's answer once the pooled one has failed."""
+    async def result_after_failure(self) -> ExchangeResult | None:
+        """Return the answer of the new connection after the pooled one failed."""
         if self._task is not None:
             await self._task
         result = self._result
@@ -82,7 +80,7 @@
         return result
 
     async def end(self) -> None:
-        """Stop watching; a second request still on its way is broken off."""
+        """Cancel the timer and any second request in flight."""
         self._timer.cancel()
         task = self._task
         if task is None:
--- a/azurestep/traffic/carried.py
+++ b/azurestep/traffic/packed_call.py
@@ -1,11 +1,11 @@
-"""Calls that travel from the accepting node to the owner of their key."""
+"""Calls in the form sent from the accepting node to the owner of their key."""
 
 import hashlib
 
 from multidict import CIMultiDict
 
-from ..balancing import Budget
-from ..control.messages import CarriedCall
+from ..balancing import DeadlineBudget
+from ..control.messages import PackedCall
 from ..once.messages import Header
 from . import headers
 from .call import Call
@@ -16,15 +16,15 @@
 
 
 def request_digest(call: Call) -> str:
-    """Return a digest that tells two requests with one key apart."""
+    """Return a digest that distinguishes requests with the same key."""
     digest = hashlib.blake2b(digest_size=HASH_SIZE_BYTES)
     digest.update(f"{call.method} {call.target}\n".encode())
     digest.update(call.body)
     return digest.hexdigest()
 
 
-def carry(call: Call, key: str) -> CarriedCall:
-    """Return a call in the form that travels between nodes."""
+def pack_call(call: Call, key: str) -> PackedCall:
+    """Return a call in the form sent between nodes."""
     fields = [
         Header(name, value)
         for name, value in call.fields.items()
@@ -32,35 +32,35 @@
     ]
     fields.append(Header(headers.IDEMPOTENCY_KEY, key))
     host = call.fields.get("Host", "").partition(":")[0]
-    return CarriedCall(call.method, call.target, host, fields, call.body)
+    return PackedCall(call.method, call.target, host, fields, call.body)
 
 
-def restore(
-    carried: CarriedCall,
+def unpack_call(
+    packed: PackedCall,
     table: RoutingTable,
     remaining_ms: float,
     now_ms: float,
 ) -> Call | None:
-    """Return the call at the owner, matched by the owner's own table.
+    """Return the call, matched by the owner's routing table.
 
     Returns
     -------
     Call or None
         None if the owner's table has no route for the request.
     """
-    fields = CIMultiDict((field.name, field.value) for field in carried.fields)
-    path = carried.target.partition("?")[0]
-    match = table.match(carried.host, path, carried.method, fields)
+    fields = CIMultiDict((field.name, field.value) for field in packed.fields)
+    path = packed.target.partition("?")[0]
+    match = table.match(packed.host, path, packed.method, fields)
     if match is None:
         return None
     depth = fields.get(headers.DEPTH, "")
     return Call(
-        carried.method,
-        carried.target,
+        packed.method,
+        packed.target,
         fields,
         table,
         match,
-        Budget(remaining_ms, int(depth) if depth.isdigit() else 0),
+        DeadlineBudget(remaining_ms, int(depth) if depth.isdigit() else 0),
         now_ms,
-        carried.body,
+        packed.body,
     )
--- a/azurestep/traffic/request_head.py
+++ b/azurestep/traffic/request_head.py
@@ -1,13 +1,13 @@
-"""Head of a request as it goes to a backend server."""
+"""Head of a request to a backend server."""
 
 from collections.abc import Mapping
 
-from ..balancing import Budget
+from ..balancing import DeadlineBudget
 from . import headers
 from .call import Call
 
 CONNECTION = "Connection"
-REPLACED = headers.HOP_BY_HOP | {
+REPLACED_HEADERS = headers.HOP_BY_HOP | {
     "content-length",
     "expect",
     headers.DEADLINE_MS.lower(),
@@ -16,8 +16,8 @@
 }
 
 
-def request_head(
-    call: Call, budget: Budget, extra: Mapping[str, str] | None = None
+def build_request_head(
+    call: Call, budget: DeadlineBudget, extra: Mapping[str, str] | None = None
 ) -> bytes:
     """Return the request line and headers, the empty line included.
 
@@ -25,12 +25,12 @@
     ----------
     call : Call
         The request.
-    budget : Budget
-        Time and depth to tell the backend server.
+    budget : DeadlineBudget
+        Remaining time and depth for the backend server.
     extra : mapping of str to str, optional
-        Headers that replace those of the caller.
+        Headers that replace the caller's.
     """
-    skipped = REPLACED
+    skipped = REPLACED_HEADERS
     if CONNECTION in call.fields:
         skipped = skipped | connection_options(call.fields.getall(CONNECTION))
     if extra:
@@ -56,7 +56,7 @@
 
 
 def connection_options(values: list[str]) -> frozenset[str]:
-    """Return the header names that ``Connection`` headers name.
+    """Return the header names listed in ``Connection`` headers.
 
     Examples
     --------
--- a/tests/test_traffic_stopping.py
+++ b/tests/test_traffic_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop of a node cuts no request."""
+"""Graceful shutdown of a node, and requests before it is ready."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("path", [b"/songs", b"/track?bytes=%d" % SIZE])
-async def test_callers_are_asked_to_go_elsewhere(
+async def test_a_draining_node_closes_its_callers_connections(
     start_backend_server, start_traffic, path
 ):
     server = await start_backend_server()
@@ -42,7 +42,7 @@
     assert end == b""
 
 
-async def test_requests_in_flight_end_after_the_listener_closed(
+async def test_requests_in_flight_complete_after_the_listener_closes(
     http, start_backend_server, start_traffic, wait_until
 ):
     server = await start_backend_server()
@@ -96,7 +96,7 @@
     assert b'"service":"catalogue"' in await early
 
 
-async def test_a_node_without_a_table_says_so_in_the_end(http, start_traffic):
+async def test_a_node_without_a_table_refuses_after_a_wait(http, start_traffic):
     rig = await start_traffic()
     async with http.get(f"{rig.url}/songs") as response:
         assert response.status == 503
@@ -104,14 +104,10 @@
         assert response.headers["Azurestep-Not-Run"] == "1"
 
 
-async def test_a_caller_that_leaves_during_a_probe_frees_its_slot(
+async def test_a_caller_that_disconnects_during_a_probe_frees_its_slot(
     http, start_raw_server, start_traffic, wait_until
 ):
-    """A slot was held for good when its caller left at that moment.
-
-    A backend server's connection is lost, and the node probes its address; the
-    request's ticket was ended only after that.
-    """
+    """A cancelled request must free its slot while a lost connection is probed."""
     server = await start_raw_server([None])
     rig = await start_traffic(server.port)
     proxy = rig.traffic.proxy
@@ -128,4 +124,4 @@
     await wait_until(lambda: proxy.in_flight == 0)
     (state,) = proxy._pools["catalogue"].admission.balancer.pools[0].members
 
-    assert state.outstanding == 0
+    assert state.in_flight == 0
