--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -101,7 +101,7 @@
     assert not remote.node.inbound.busy
 
 
-@pytest.mark.parametrize("method", ["on_answer", "_pass_on", "on_slot_ready"])
+@pytest.mark.parametrize("method", ["on_answer", "_send_answer", "on_slot_ready"])
 async def test_a_fault_at_the_caller_fails_only_its_request(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch, method: str
 ) -> None:
@@ -164,7 +164,7 @@
 
 
 def of_stream(receiver: Any, *_: object) -> bytes:
-    run = receiver.server._runs.get(receiver.stream)
+    run = receiver.link._runs.get(receiver.stream_id)
     return b"" if run is None else of_run(run)
 
 
