--- a/azurestep/mesh/backend/state.py
+++ b/azurestep/mesh/backend/state.py
@@ -1,7 +1,7 @@
-"""What a node knows of the backend server beside it.
+"""State of the local backend server.
 
-The node is the only one that sends requests to this backend server, so what it
-decides here holds for the whole fleet: a server that leaves gets nothing more.
+All requests to the backend server pass the local node, so its decisions hold for the
+whole fleet: a leaving server gets no more requests.
 """
 
 import attrs
@@ -10,27 +10,29 @@
 from ..incarnation import NO_INCARNATION, START_UNKNOWN, Incarnation
 from ..messages import Reason, Request
 
-DRAIN_SHARE = 0.5
-"""Share of the drain bound in which requests on their way still get in."""
-UNKNOWN_SINCE_MS = float("-inf")
-"""Begin of the leaving of an incarnation that this process never saw serving: the
-process before it may have acknowledged the leaving long ago."""
+DRAIN_ADMIT_RATIO = 0.5
+"""Part of the drain time in which requests in transit are still admitted."""
+LEAVING_SINCE_UNKNOWN_MS = float("-inf")
+"""Start of the drain of an incarnation that this process never saw serving.
+
+The previous process of the node may have acknowledged the leaving long ago.
+"""
 
 
 @attrs.define(slots=True)
-class History:
-    """What is known of the newest incarnation under one id.
+class IncarnationRecord:
+    """The newest known incarnation under one id.
 
     Attributes
     ----------
     started_ms : int or None
-        Its start; None until it told it.
+        Its start; None until announced.
     heartbeat : Heartbeat or None
-        The newest one.
+        Its latest heartbeat.
     leaving_since_ms : float or None
-        When it first said that it leaves.
+        When it first announced that it leaves.
     ended : bool
-        Whether another one was found at its address.
+        Whether another incarnation was found at its address.
     """
 
     started_ms: int | None
@@ -38,10 +40,10 @@
     leaving_since_ms: float | None = None
     ended: bool = False
 
-    def is_followed_by(self, started_ms: int | None) -> bool:
+    def is_superseded_by(self, started_ms: int | None) -> bool:
         """Whether an incarnation with that start is a later one.
 
-        One that ended before it told its start may have been an earlier one too.
+        If this one never announced its start, any start after its end counts as later.
         """
         if started_ms is None:
             return False
@@ -49,7 +51,7 @@
             return self.ended
         return started_ms > self.started_ms
 
-    def is_after(self, started_ms: int | None) -> bool:
+    def is_newer_than(self, started_ms: int | None) -> bool:
         """Whether an incarnation with that start is an earlier one."""
         return (
             started_ms is not None
@@ -60,19 +62,19 @@
 
 @attrs.define(slots=True)
 class Backend:
-    """The backend server beside this node, as it announced itself.
+    """The local backend server as it announced itself.
 
     Attributes
     ----------
     drain_ms : float
-        Bound of the time between a leaving notice and the last request.
+        Longest time between a leaving notice and the last request.
     service, slots : str, int
         As announced; the service is empty until the first heartbeat.
     instance_id : str
-        Id of the incarnation that gets the requests.
+        Id of the incarnation that receives requests.
     conflicting_id : str
-        An incarnation that announced itself at the same address while another
-        one is known; a health probe decides which of them runs.
+        Another incarnation that announced the same address; a health probe finds out
+        which of them runs.
     """
 
     drain_ms: float
@@ -81,63 +83,63 @@
     slots: int = 1
     conflicting_id: str = ""
     _cold_until_ms: float = 0.0
-    _histories: dict[str, History] = attrs.field(factory=dict)
+    _records: dict[str, IncarnationRecord] = attrs.field(factory=dict)
 
     @property
     def incarnation(self) -> Incarnation:
-        """The one that gets the requests."""
+        """The incarnation that receives requests."""
         if not self.instance_id:
             return NO_INCARNATION
-        history = self._histories.get(self.instance_id)
-        started_ms = history.started_ms if history is not None else None
+        record = self._records.get(self.instance_id)
+        started_ms = record.started_ms if record is not None else None
         name = self.instance_id.encode("latin-1", "replace")
         return Incarnation(name, started_ms or START_UNKNOWN)
 
     def apply_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> None:
-        """Take a heartbeat in; a late or overtaken one changes nothing."""
+        """Apply a heartbeat; an outdated one can only announce leaving."""
         name = heartbeat.instance_id
-        history = self._history(name, heartbeat.started_ms)
-        if history is None:
+        record = self._find_record(name, heartbeat.started_ms)
+        if record is None:
             return
         if heartbeat.leaving:
-            self._begin_leaving(name, history, now_ms)
-        newest = history.heartbeat
+            self._record_leaving(name, record, now_ms)
+        newest = record.heartbeat
         if newest is not None and heartbeat.sequence <= newest.sequence:
             return
-        if history.ended:
+        if record.ended:
             return
-        history.heartbeat = heartbeat
+        record.heartbeat = heartbeat
         if name == self.instance_id:
             self._adopt(heartbeat, now_ms)
         elif not self.instance_id:
-            self._replace(heartbeat, now_ms)
+            self._switch_to(heartbeat, now_ms)
         elif not heartbeat.leaving:
             self.conflicting_id = name
 
     def apply_leaving(self, notice: LeavingNotice, now_ms: float) -> None:
-        """Take a leaving notice in."""
-        history = self._history(notice.instance_id, notice.started_ms)
-        if history is not None:
-            self._begin_leaving(notice.instance_id, history, now_ms)
+        """Apply a leaving notice."""
+        record = self._find_record(notice.instance_id, notice.started_ms)
+        if record is not None:
+            self._record_leaving(notice.instance_id, record, now_ms)
 
     def announced_service(self, instance_id: str) -> str:
-        """Return the service that was announced under an id; empty for none."""
-        history = self._histories.get(instance_id)
-        if history is None or history.heartbeat is None:
+        """Return the service announced under an id; empty for none."""
+        record = self._records.get(instance_id)
+        if record is None or record.heartbeat is None:
             return ""
-        return history.heartbeat.service
+        return record.heartbeat.service
 
     def discover(self, instance_id: str, service: str, slots: int) -> bool:
-        """Take in what a health probe found where nothing was announced.
+        """Use the incarnation that a health probe found, if none was announced.
 
         Returns
         -------
         bool
-            Whether this is the incarnation that gets the requests now.
+            Whether it receives the requests now.
         """
-        history = self._histories.get(instance_id)
-        gone = history is not None and (
-            history.ended or history.leaving_since_ms is not None
+        record = self._records.get(instance_id)
+        gone = record is not None and (
+            record.ended or record.leaving_since_ms is not None
         )
         if self.instance_id or gone:
             return False
@@ -147,35 +149,35 @@
         return True
 
     def confirm_instance(self, instance_id: str, now_ms: float) -> None:
-        """Learn from an answer which incarnation runs at the address."""
-        history = self._histories.get(instance_id)
-        if not instance_id or (history is not None and history.ended):
+        """Update the state by the incarnation that an answer came from."""
+        record = self._records.get(instance_id)
+        if not instance_id or (record is not None and record.ended):
             return
         if instance_id == self.instance_id:
             self.conflicting_id = ""
             return
         if self.instance_id:
-            self._note_end(self.instance_id)
+            self._mark_ended(self.instance_id)
         self.instance_id = ""
         self.conflicting_id = ""
-        if history is not None and history.heartbeat is not None:
-            self._replace(history.heartbeat, now_ms)
+        if record is not None and record.heartbeat is not None:
+            self._switch_to(record.heartbeat, now_ms)
 
     def mark_gone(self, incarnation: Incarnation) -> None:
-        """Note that an incarnation does not run at the address any more.
+        """Record that an incarnation doesn't run at the address any more.
 
-        A later one under the same id is not concerned.
+        A later one under the same id is not affected.
         """
         name = incarnation.instance_id.decode("latin-1")
-        history = self._histories.get(name)
-        if history is not None and history.is_after(incarnation.started_ms or None):
+        record = self._records.get(name)
+        if record is not None and record.is_newer_than(incarnation.started_ms or None):
             return
-        self._note_end(name)
+        self._mark_ended(name)
         if name == self.instance_id:
             self.instance_id = ""
 
     def is_leaving(self) -> bool:
-        """Whether the incarnation that gets requests said that it leaves."""
+        """Whether the incarnation that receives requests is leaving."""
         return self._leaving_since_ms() is not None
 
     def is_open(self) -> bool:
@@ -187,9 +189,9 @@
         if not self.instance_id:
             return False
         since_ms = self._leaving_since_ms()
-        return since_ms is None or now_ms - since_ms < self.drain_ms * DRAIN_SHARE
+        return since_ms is None or now_ms - since_ms < self.drain_ms * DRAIN_ADMIT_RATIO
 
-    def obstacle(self, request: Request, now_ms: float) -> Reason | None:
+    def refusal_reason(self, request: Request, now_ms: float) -> Reason | None:
         """Return why a request may not be sent to it; None if it may."""
         if not self.instance_id or self.service != request.service:
             return Reason.NO_BACKEND
@@ -198,38 +200,41 @@
         return None if self.admits(now_ms) else Reason.LEAVING
 
     def cold_remaining_ms(self, now_ms: float) -> float:
-        """Return how much longer the backend server is slow after its start."""
+        """Return the remaining time of its cold start."""
         return max(0.0, self._cold_until_ms - now_ms)
 
-    def _history(self, name: str, started_ms: int | None) -> History | None:
-        """Return the history that news of an incarnation belong to.
+    def _find_record(
+        self, name: str, started_ms: int | None
+    ) -> IncarnationRecord | None:
+        """Return the record of an incarnation; None if a newer one is known.
 
-        None if they are late news of a start before the newest one. A later start
-        begins anew: its heartbeats count from one again, and what the earlier one
-        said of leaving does not hold.
+        A later start gets a new record: its heartbeats are numbered from one again, and
+        an earlier leaving doesn't apply to it.
         """
-        history = self._histories.get(name)
-        if history is None or history.is_followed_by(started_ms):
-            history = self._histories[name] = History(started_ms)
-        if history.is_after(started_ms):
+        record = self._records.get(name)
+        if record is None or record.is_superseded_by(started_ms):
+            record = self._records[name] = IncarnationRecord(started_ms)
+        if record.is_newer_than(started_ms):
             return None
-        if history.started_ms is None:
-            history.started_ms = started_ms
-        return history
+        if record.started_ms is None:
+            record.started_ms = started_ms
+        return record
 
-    def _note_end(self, name: str) -> None:
-        self._histories.setdefault(name, History(None)).ended = True
+    def _mark_ended(self, name: str) -> None:
+        self._records.setdefault(name, IncarnationRecord(None)).ended = True
 
     def _leaving_since_ms(self) -> float | None:
-        history = self._histories.get(self.instance_id)
-        return None if history is None else history.leaving_since_ms
+        record = self._records.get(self.instance_id)
+        return None if record is None else record.leaving_since_ms
 
-    def _begin_leaving(self, name: str, history: History, now_ms: float) -> None:
-        if history.leaving_since_ms is None:
-            known = name == self.instance_id or history.heartbeat is not None
-            history.leaving_since_ms = now_ms if known else UNKNOWN_SINCE_MS
+    def _record_leaving(
+        self, name: str, record: IncarnationRecord, now_ms: float
+    ) -> None:
+        if record.leaving_since_ms is None:
+            known = name == self.instance_id or record.heartbeat is not None
+            record.leaving_since_ms = now_ms if known else LEAVING_SINCE_UNKNOWN_MS
 
-    def _replace(self, heartbeat: Heartbeat, now_ms: float) -> None:
+    def _switch_to(self, heartbeat: Heartbeat, now_ms: float) -> None:
         self.instance_id = heartbeat.instance_id
         self.conflicting_id = ""
         self._adopt(heartbeat, now_ms)
--- a/azurestep/mesh/callers/deadline.py
+++ b/azurestep/mesh/callers/deadline.py
@@ -1,4 +1,4 @@
-"""When an attempt is answered at the latest, and the timer for it."""
+"""The deadline of a call, with its timer."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,23 +7,23 @@
 
 
 class Deadline:
-    """The time of an attempt's last answer.
+    """The time by which a call must be answered.
 
     Parameters
     ----------
     runtime : Runtime
         Event loop and clock.
     caller_deadline_ms : float
-        Until when its caller waits, and the operators let it.
+        The caller's deadline or the route's timeout, whichever is earlier.
     drain_deadline_ms : float
-        When a stopping node answers; infinite while it is not stopping.
-    act : Callable
-        Called when the time is over.
+        When a node that shuts down must have answered; infinite otherwise.
+    on_expiry : Callable
+        Called at the deadline.
 
     Attributes
     ----------
     deadline_ms : float
-        The earlier of both times.
+        The earlier of both.
     """
 
     def __init__(
@@ -31,45 +31,41 @@
         runtime: Runtime,
         caller_deadline_ms: float,
         drain_deadline_ms: float,
-        act: Callable[[], None],
+        on_expiry: Callable[[], None],
     ) -> None:
         self._runtime = runtime
         self._caller_deadline_ms = caller_deadline_ms
-        self._act = act
+        self._on_expiry = on_expiry
         self.deadline_ms = min(caller_deadline_ms, drain_deadline_ms)
-        self._timer = self._call_at(self.deadline_ms)
+        self._timer = self._schedule_at(self.deadline_ms)
 
     @property
-    def set_by_stop(self) -> bool:
-        """Whether the stop of this node ends the attempt before its caller would."""
+    def set_by_shutdown(self) -> bool:
+        """Whether the node's shutdown ends the call before the caller's deadline."""
         return self.deadline_ms < self._caller_deadline_ms
 
     def limit_deadline(self, drain_deadline_ms: float) -> None:
-        """Answer by then: this node is stopping.
-
-        Without it, a node ended under requests that waited elsewhere for longer than it
-        lived: eight of eight callers with requests of 8.5 s lost their connection.
-        """
+        """Shorten the deadline, so that the call is answered before the node exits."""
         if drain_deadline_ms < self.deadline_ms:
             self.deadline_ms = drain_deadline_ms
             self.cancel()
-            self._timer = self._call_at(drain_deadline_ms)
+            self._timer = self._schedule_at(drain_deadline_ms)
 
-    def wait_for_caller(self) -> bool:
-        """Go on to the caller's own deadline, if the stop's came before it."""
+    def extend_to_caller_deadline(self) -> bool:
+        """Restart the timer for the caller's deadline, unless that has passed."""
         if self._runtime.now_ms() >= self._caller_deadline_ms:
             return False
-        self._timer = self._call_at(self._caller_deadline_ms)
+        self._timer = self._schedule_at(self._caller_deadline_ms)
         return True
 
     def extend(self, wait_ms: float) -> None:
-        """Call again after a short wait."""
-        self._timer = self._call_at(self._runtime.now_ms() + wait_ms)
+        """Restart the timer for a short wait."""
+        self._timer = self._schedule_at(self._runtime.now_ms() + wait_ms)
 
     def cancel(self) -> None:
-        """Call no more."""
+        """Stop the timer."""
         self._timer.cancel()
 
-    def _call_at(self, time_ms: float) -> asyncio.TimerHandle:
+    def _schedule_at(self, time_ms: float) -> asyncio.TimerHandle:
         wait_s = (time_ms - self._runtime.now_ms()) / 1000
-        return self._runtime.loop.call_later(wait_s, self._act)
+        return self._runtime.loop.call_later(wait_s, self._on_expiry)
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -1,4 +1,4 @@
-"""Requests of callers: match a route, shed, or hand over to a call."""
+"""Entry of callers' requests: route matching and load shedding."""
 
 from collections.abc import Callable
 
@@ -14,25 +14,25 @@
 from .call import Call
 from .context import CallContext, Target
 from .ending import UNAVAILABLE
-from .own_answers import RETRY_WITHOUT_BACKEND_MS, answer_refused, id_header
+from .own_answers import NO_BACKEND_RETRY_AFTER_MS, answer_refused, id_header
 
-RETRY_SHED_MS = 120.0
-"""Time to come back after a refusal for another service's sake: short enough that
-an answer to the second attempt is within its objective."""
+SHED_RETRY_AFTER_MS = 120.0
+"""Time after which to retry a shed request; short enough for the retry to meet the
+route's objective."""
 NOT_FOUND = 404
 BAD_REQUEST = 400
 
 
 @attrs.define(eq=False)
 class Outbound:
-    """All requests of this instance's callers.
+    """Handles all requests of this instance's callers.
 
     Attributes
     ----------
     table : Callable
         Returns the configuration in force, or None.
     closed : bool
-        Whether new requests are refused, since the node ends.
+        Whether new requests are refused, because the node is about to exit.
     """
 
     context: CallContext
@@ -41,7 +41,7 @@
     load_shedder: LoadShedder = attrs.field(factory=LoadShedder)
 
     def handle(self, exchange: Exchange) -> None:
-        """Take a request whose head was read."""
+        """Route a request whose head was read, or reject it."""
         context = self.context
         table = self.table()
         caller = read_caller(exchange.headers)
@@ -58,7 +58,7 @@
             return
         service = table.choose_service(route)
         attempt = context.identify_attempt(exchange, caller)
-        if self._sheds(service, route.priority):
+        if self._should_shed(service, route.priority):
             exchange.sink = Rejection(
                 context.runtime,
                 exchange,
@@ -69,25 +69,25 @@
             )
             context.returning_callers.add(attempt)
             return
-        context.offered(route, service)
+        context.record_offered(route, service)
         target = Target(route, service, table.version)
         exchange.sink = Call(context, exchange, caller, target, attempt)
 
-    def _sheds(self, service: str, priority: int) -> bool:
+    def _should_shed(self, service: str, priority: int) -> bool:
         share = self.load_shedder.shed_ratio(service, priority)
         return share > 0 and self.context.runtime.random.random() < share
 
 
 @attrs.define(eq=False)
 class Rejection:
-    """Answers a request that goes to no backend server, once it is read.
+    """Answers a request that is sent to no backend server, once it was read.
 
     Attributes
     ----------
     status : int
-        Of the answer.
+        Status of the answer.
     route : str
-        Route of the request; empty where none matched.
+        Name of the matched route; empty for none.
     """
 
     runtime: Runtime
@@ -98,10 +98,10 @@
     route: str = ""
 
     def on_body(self, data: bytes) -> None:
-        """Drop the body."""
+        """Ignore the body."""
 
     def on_end(self) -> None:
-        """Answer."""
+        """Log, count and answer the request."""
         events.log(
             events.CALL_REFUSED,
             id=self.request_id,
@@ -112,17 +112,17 @@
         self.runtime.metrics.count("calls", f"rejected_{self.status}")
         if self.status == UNAVAILABLE:
             shed = self.reason is Reason.PRESSURE
-            retry_after_ms = RETRY_SHED_MS if shed else RETRY_WITHOUT_BACKEND_MS
+            retry_after_ms = SHED_RETRY_AFTER_MS if shed else NO_BACKEND_RETRY_AFTER_MS
             answer_refused(self.runtime, self.exchange, self.request_id, retry_after_ms)
         else:
             headers = id_header(self.request_id)
             self.exchange.answer(self.status, headers, b"")
 
     def on_disconnect(self) -> None:
-        """Forget the request."""
+        """Ignore; nothing was started."""
 
     def on_writable(self) -> None:
         """Ignore; the answer is short."""
 
     def on_fault(self) -> None:
-        """Leave the answer to the connection."""
+        """Ignore; the connection answers."""
--- a/azurestep/mesh/callers/record.py
+++ b/azurestep/mesh/callers/record.py
@@ -1,4 +1,4 @@
-"""What the log lines of one attempt tell."""
+"""Log lines about one call."""
 
 import attrs
 
@@ -7,23 +7,23 @@
 from ..decisions.returning import Attempt
 from ..messages import Answer, Reason
 
-GOOD_BELOW = 300
+FIRST_FAILURE_STATUS = 300
 
 
 @attrs.define(slots=True, eq=False)
 class CallRecord:
-    """One attempt of a caller, as its lines show it.
+    """One call, as its log lines show it.
 
     Attributes
     ----------
-    asked : int
-        Nodes that were asked.
+    nodes_asked : int
+        Nodes that the request was sent to.
     runs : int
-        Backend servers that the request may have reached.
+        Backend servers where the request may have run.
     instance : bytes
-        Backend server that was asked last.
+        Backend server that the request was sent to last.
     waited_ms, ran_ms : float
-        Time beside that server and at it, as its answer told.
+        Time in the queue before that server, and at the server.
     """
 
     request_id: bytes
@@ -32,28 +32,28 @@
     version: int
     attempt: Attempt
     arrived_ms: float
-    asked: int = 0
+    nodes_asked: int = 0
     runs: int = 0
     instance: bytes = b""
     waited_ms: float = 0.0
     ran_ms: float = 0.0
 
     def objective_ms(self, now_ms: float) -> float:
-        """Return the time until the answer loses value, negative once it has."""
+        """Return the time left to the objective; negative once it is missed."""
         return self.route.objective_ms - (now_ms - self.attempt.first_attempt_ms)
 
-    def answered(self, answer: Answer) -> None:
-        """Take in what an answer tells of its way."""
+    def record_times(self, answer: Answer) -> None:
+        """Record the times that an answer reports."""
         self.waited_ms, self.ran_ms = answer.waited_ms, answer.ran_ms
 
-    def log_end(self, status: int, now_ms: float) -> None:
-        """Log that the caller got a backend server's answer."""
-        in_time = status < GOOD_BELOW and self.objective_ms(now_ms) >= 0
+    def log_answered(self, status: int, now_ms: float) -> None:
+        """Log that a backend server's answer was passed on."""
+        in_time = status < FIRST_FAILURE_STATUS and self.objective_ms(now_ms) >= 0
         log = events.log_routine if in_time else events.log
         log(events.CALL_ENDED, **self._fields(status, "", now_ms))
 
     def log_refused(self, status: int, reason: Reason, now_ms: float) -> None:
-        """Log that the request is refused and has not run."""
+        """Log that the request was refused and has not run."""
         events.log(events.CALL_REFUSED, **self._fields(status, reason.name, now_ms))
 
     def log_failed(self, status: int, reason: Reason, now_ms: float) -> None:
@@ -61,11 +61,11 @@
         events.log(events.CALL_FAILED, **self._fields(status, reason.name, now_ms))
 
     def log_retried(self, status: int, reason: Reason, now_ms: float) -> None:
-        """Log that another backend server is asked."""
+        """Log that the request is retried at another backend server."""
         events.log(events.CALL_RETRIED, **self._fields(status, reason.name, now_ms))
 
-    def log_gone(self, now_ms: float) -> None:
-        """Log that the caller left."""
+    def log_disconnected(self, now_ms: float) -> None:
+        """Log that the caller disconnected."""
         events.log(
             events.CALLER_DISCONNECTED,
             id=self.request_id,
@@ -83,7 +83,7 @@
             "instance": self.instance,
             "status": status,
             "reason": reason,
-            "asked": self.asked,
+            "asked": self.nodes_asked,
             "runs": self.runs,
             "after_ms": round(now_ms - self.arrived_ms),
             "left_ms": round(self.objective_ms(now_ms)),
--- a/tests/test_mesh_queue.py
+++ b/tests/test_mesh_queue.py
@@ -1,7 +1,7 @@
-"""One order of events beside a backend server, whatever a receiver does meanwhile.
+"""Order of events at the end of a request.
 
-A request that ends is taken off all books first, then its receiver hears of it, and
-only then the queue is looked at, from the event loop and one request at a time.
+The request is released first, then its receiver is called, and only then the queue is
+scanned, from the event loop.
 """
 
 from azurestep.http.client import ClientConnection
@@ -13,21 +13,22 @@
 MANY = 400
 
 
-def queue_up(beside: Beside, count: int, budget_ms: float) -> list[Listener]:
-    """Let requests wait behind those that run."""
+def submit_waiting(beside: Beside, count: int, remaining_ms: float) -> list[Listener]:
+    """Submit requests that wait behind the running ones."""
     listeners = [Listener() for _ in range(count)]
     for listener in listeners:
-        beside.submit(listener, budget_ms)
+        beside.submit(listener, remaining_ms)
     beside.loop.run_due()
     assert not any(listener.outcomes for listener in listeners)
     return listeners
 
 
 def test_a_leaving_server_refuses_a_long_queue() -> None:
+    """Guards against recursion through the queue."""
     beside = make_beside(slots=1)
     beside.inbound.admission.learn("read", SHORT_MS)
     first = beside.submit(Listener(), LONG_MS)
-    waiting = queue_up(beside, MANY, LONG_MS)
+    waiting = submit_waiting(beside, MANY, LONG_MS)
     beside.leave()
     answer(first)
     beside.loop.run_due()
@@ -36,10 +37,10 @@
     assert not beside.inbound.busy
 
 
-def test_a_lost_link_starts_nothing_that_it_cancels(beside: Beside) -> None:
+def test_cancelling_all_requests_of_a_lost_link_starts_none(beside: Beside) -> None:
     runs = [beside.submit(Listener()) for _ in range(8)]
     beside.loop.run_due()
-    beside.inbound.keep(ClientConnection())
+    beside.inbound.return_connection(ClientConnection())
     assert [run.may_have_run for run in runs] == [True] * 4 + [False] * 4
     for run in runs:
         run.cancel()
@@ -48,7 +49,7 @@
     assert beside.inbound.admission.in_flight == 0
 
 
-def test_a_request_that_ends_while_others_are_refused_ends_once(
+def test_a_request_that_ends_while_others_are_refused_has_one_outcome(
     beside: Beside,
 ) -> None:
     answered = Listener()
@@ -59,7 +60,7 @@
     late = [beside.submit(one) for one in listeners]
     beside.loop.run_due()
 
-    def end_another(news: str) -> None:
+    def end_another(event: str) -> None:
         late[1].cancel()
         raise RuntimeError("a receiver fails")
 
--- a/tests/test_mesh_stopping_uploads.py
+++ b/tests/test_mesh_stopping_uploads.py
@@ -1,9 +1,4 @@
-"""Uploads at a stopping node: each is answered, a refused one has not run, none twice.
-
-Uploads have no shorter timeout than their callers' patience, which is as long as a node
-stops; both requests that a stop cut were uploads, in the queue beside a server that was
-short of room.
-"""
+"""Uploads during a shutdown are answered and run at most once, never if refused."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -26,7 +21,7 @@
 
 
 def long_routes() -> dict[str, object]:
-    """Return reads and uploads that may last longer than a node stops."""
+    """Return reads and uploads that may outlast a shutdown."""
     route = {
         "host": "shop.example",
         "max_attempts": 2,
@@ -43,7 +38,7 @@
 
 @attrs.frozen
 class Stage:
-    """A fleet with one open server, whose runs outlast a stop."""
+    """A fleet with one open server, whose runs outlast a shutdown."""
 
     mesh: MeshFleet
     serving: MeshInstance
@@ -62,7 +57,7 @@
             return CUT
 
     def check(self, statuses: list[int]) -> None:
-        """Check what each upload came to."""
+        """Check the outcome of each upload."""
         assert CUT not in statuses
         for name, status in zip(NAMES, statuses, strict=True):
             runs = sum(item.server.runs[name] for item in self.mesh.instances)
@@ -72,7 +67,7 @@
 
 @pytest_asyncio.fixture
 async def stage(mesh: MeshFleet) -> Stage:
-    """Have one server open, with runs of 8.5 s."""
+    """Open one server, with runs of 8.5 s."""
     content = document(8, routes=long_routes())
     mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, content)
     await eventually(
@@ -84,49 +79,56 @@
     return Stage(mesh, serving, asked)
 
 
-async def nothing_else(stage: Stage) -> None:
-    """Let the stop be all that happens."""
+async def do_nothing(stage: Stage) -> None:
+    """Leave the shutdown without another event."""
 
 
-async def second_signal(stage: Stage) -> None:
+async def send_second_signal(stage: Stage) -> None:
     stage.asked.node.stop()
 
 
-async def new_version(stage: Stage) -> None:
+async def publish_version(stage: Stage) -> None:
     stage.asked.node.reload()
     content = document(9, routes=long_routes())
     stage.mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, content)
 
 
-async def link_reset(stage: Stage) -> None:
+async def reset_link(stage: Stage) -> None:
     await asyncio.sleep(0.9)
     for server in list(stage.serving.node.incoming_links.links):
         server.abort()
 
 
-async def link_silent(stage: Stage) -> None:
+async def silence_link(stage: Stage) -> None:
     await asyncio.sleep(0.9)
     silence(stage.serving)
 
 
-async def both_stop(stage: Stage) -> None:
+async def stop_both(stage: Stage) -> None:
     await stop(stage.serving)
 
 
 @pytest.mark.parametrize(
-    "beside",
-    [nothing_else, second_signal, new_version, link_reset, link_silent, both_stop],
+    "concurrent_event",
+    [
+        do_nothing,
+        send_second_signal,
+        publish_version,
+        reset_link,
+        silence_link,
+        stop_both,
+    ],
 )
-async def test_uploads_before_a_stop_are_all_answered(
-    stage: Stage, beside: Callable[[Stage], Awaitable[None]]
+async def test_uploads_before_a_shutdown_are_all_answered(
+    stage: Stage, concurrent_event: Callable[[Stage], Awaitable[None]]
 ) -> None:
     calls = [asyncio.create_task(stage.upload(name)) for name in NAMES]
     await asyncio.sleep(0.1)
-    await asyncio.gather(stop(stage.asked), beside(stage))
+    await asyncio.gather(stop(stage.asked), concurrent_event(stage))
     stage.check(await asyncio.gather(*calls))
 
 
-async def test_uploads_at_the_node_beside_the_server_are_all_answered(
+async def test_uploads_at_the_node_of_the_server_are_all_answered(
     stage: Stage,
 ) -> None:
     stage = attrs.evolve(stage, asked=stage.serving)
@@ -136,7 +138,7 @@
     stage.check(await asyncio.gather(*calls))
 
 
-async def test_uploads_that_come_during_a_stop_are_all_answered(stage: Stage) -> None:
+async def test_uploads_during_a_shutdown_are_all_answered(stage: Stage) -> None:
     ended = asyncio.create_task(stop(stage.asked))
     calls = []
     for name in NAMES:
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -64,7 +64,7 @@
 from azurestep.mesh import messages as mesh
 from azurestep.mesh import settings as mesh_settings
 from azurestep.mesh.backend import crashes
-from azurestep.mesh.backend.request_bytes import first_bytes
+from azurestep.mesh.backend.request_bytes import encode_request
 from azurestep.mesh.callers import own_answers
 from azurestep.mesh.callers.record import CallRecord
 from azurestep.mesh.decisions.returning import Attempt
@@ -779,7 +779,7 @@
 
 
 def test_request_to_a_backend_server_of_the_platform() -> None:
-    check("first_bytes", first_bytes(REQUEST, b"\xffbody", False, 900.5))
+    check("first_bytes", encode_request(REQUEST, b"\xffbody", False, 900.5))
 
 
 def sample_call() -> Call:
@@ -1534,11 +1534,11 @@
     )
 
     def act() -> None:
-        record.log_end(200, 300.0)
+        record.log_answered(200, 300.0)
         record.log_refused(503, mesh.Reason(4), 300.0)
         record.log_failed(502, mesh.Reason(14), 900.0)
         record.log_retried(0, mesh.Reason(7), 300.0)
-        record.log_gone(300.0)
+        record.log_disconnected(300.0)
 
     check("attempt_lines", written(act))
 
