--- a/azurestep/config/fold.py
+++ b/azurestep/config/fold.py
@@ -36,8 +36,8 @@
 )
 from .validate import validate
 
-BUFFER_MAXIMUM_RECORDS = 10_000
-ACCEPTED_MAXIMUM = 1024
+MAX_BUFFERED_RECORDS = 10_000
+MAX_REMEMBERED_IDS = 1024
 
 
 @attrs.frozen
@@ -76,7 +76,7 @@
         self._buffer: list[LogRecord] = []
         self._halted_at: int | None = None
         self._regressed_at: int | None = None
-        self._accepted: dict[str, None] = {}
+        self._accepted_ids: dict[str, None] = {}
 
     @property
     def next_offset(self) -> int:
@@ -100,19 +100,19 @@
     def apply_page(self, page: Page) -> list[FoldEvent]:
         """Take one answer of the log to a read from ``self.next_offset``."""
         if page.next_offset < page.from_offset:
-            return self._note_regression(page.next_offset)
+            return self._record_regression(page.next_offset)
         self._regressed_at = None
         events: list[FoldEvent] = []
         if page.first_offset > self.next_offset:
-            events.append(self._seek_from(page.first_offset))
+            events.append(self._start_seeking(page.first_offset))
         for record in page.records:
             if self.is_halted:
                 break
             if record.offset == self.next_offset:
-                events.extend(self._take_record(record))
+                events.extend(self._apply_record(record))
         return events
 
-    def _note_regression(self, next_offset: int) -> list[FoldEvent]:
+    def _record_regression(self, next_offset: int) -> list[FoldEvent]:
         # What follows the restored end may differ from what was buffered.
         self._buffer = []
         if self._regressed_at == next_offset:
@@ -120,7 +120,7 @@
         self._regressed_at = next_offset
         return [Regressed(next_offset, self.state.as_of)]
 
-    def _seek_from(self, offset: int) -> GapFound:
+    def _start_seeking(self, offset: int) -> GapFound:
         self._seeking_from = offset
         self._buffer = []
         return GapFound(offset, self.state.as_of)
@@ -147,9 +147,9 @@
         self.state = FoldState(as_of, delta.version, document, validated.unwrap())
         if self._halted_at is not None and self._halted_at <= as_of:
             self._halted_at = None
-        return Success([Adopted(delta.version), *self._leave_seeking()])
+        return Success([Adopted(delta.version), *self._stop_seeking()])
 
-    def _leave_seeking(self) -> list[FoldEvent]:
+    def _stop_seeking(self) -> list[FoldEvent]:
         if self._seeking_from is None or self._seeking_from > self.state.as_of + 1:
             return []
         return self._replay(self._buffer)
@@ -160,15 +160,15 @@
         events: list[FoldEvent] = []
         for record in records:
             if record.offset == self.next_offset:
-                events.extend(self._take_record(record))
+                events.extend(self._apply_record(record))
         return events
 
-    def _take_record(self, record: LogRecord) -> list[FoldEvent]:
+    def _apply_record(self, record: LogRecord) -> list[FoldEvent]:
         if format_of(record.value) > RECORD_FORMAT:
             self._halted_at = record.offset
             return [Unsupported(record.offset, format_of(record.value))]
         if self._seeking_from is not None:
-            return self._seek(record)
+            return self._buffer_record(record)
         return self._fold(record)
 
     def _fold(self, record: LogRecord) -> list[FoldEvent]:
@@ -180,15 +180,15 @@
         if isinstance(decoded, Filler):
             return []
         if isinstance(decoded, Checkpoint):
-            return self._compare(record, decoded)
-        if decoded.id in self._accepted:
+            return self._compare_checkpoint(record, decoded)
+        if decoded.id in self._accepted_ids:
             return []
         return [self._decide(record, decoded)]
 
-    def _note_accepted(self, id: str) -> None:
-        self._accepted[id] = None
-        if len(self._accepted) > ACCEPTED_MAXIMUM:
-            del self._accepted[next(iter(self._accepted))]
+    def _record_accepted_id(self, id: str) -> None:
+        self._accepted_ids[id] = None
+        if len(self._accepted_ids) > MAX_REMEMBERED_IDS:
+            del self._accepted_ids[next(iter(self._accepted_ids))]
 
     def _decide(self, record: LogRecord, publication: Publication) -> FoldEvent:
         current = self.state.version
@@ -214,7 +214,7 @@
                 result.failure(),
             )
         configuration = result.unwrap()
-        self._note_accepted(publication.id)
+        self._record_accepted_id(publication.id)
         self.state = FoldState(record.offset, record.offset, document, configuration)
         return Accepted(
             record.offset,
@@ -224,14 +224,16 @@
             configuration.active_preset,
         )
 
-    def _compare(self, record: LogRecord, checkpoint: Checkpoint) -> list[FoldEvent]:
+    def _compare_checkpoint(
+        self, record: LogRecord, checkpoint: Checkpoint
+    ) -> list[FoldEvent]:
         read = CheckpointRead(record.offset, checkpoint.as_of)
         folded = _state_of(checkpoint, record.offset)
         if folded is None:
             return [read]
         if checkpoint.version > self.state.version:
             # The log was restored: it lost publications that are in force.
-            return [read, self._seek_from(checkpoint.as_of + 1)]
+            return [read, self._start_seeking(checkpoint.as_of + 1)]
         if self._contradicts(folded):
             return [read, Mismatched(record.offset)]
         return [read]
@@ -241,9 +243,9 @@
             return False
         return folded.document.hash != self.state.document.hash
 
-    def _seek(self, record: LogRecord) -> list[FoldEvent]:
+    def _buffer_record(self, record: LogRecord) -> list[FoldEvent]:
         self._buffer.append(record)
-        if len(self._buffer) > BUFFER_MAXIMUM_RECORDS:
+        if len(self._buffer) > MAX_BUFFERED_RECORDS:
             del self._buffer[0]
             self._seeking_from = self._buffer[0].offset
         try:
--- a/azurestep/config/records.py
+++ b/azurestep/config/records.py
@@ -12,7 +12,7 @@
 
 STREAM = "configuration"
 RECORD_FORMAT = 1
-ID_MAXIMUM_LENGTH = 64
+MAX_ID_LENGTH = 64
 
 
 @attrs.frozen
--- a/azurestep/config/rules.py
+++ b/azurestep/config/rules.py
@@ -18,7 +18,7 @@
     Service,
 )
 
-TIMEOUT_MAXIMUM_MS = 3_600_000
+MAX_TIMEOUT_MS = 3_600_000
 NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?")
 
 
@@ -71,9 +71,7 @@
 
 
 def _check_service(path: str, service: Service) -> Iterator[Fault]:
-    yield from _check_range(
-        f"{path}.timeout_ms", service.timeout_ms, 1, TIMEOUT_MAXIMUM_MS
-    )
+    yield from _check_range(f"{path}.timeout_ms", service.timeout_ms, 1, MAX_TIMEOUT_MS)
     yield from _check_range(
         f"{path}.connect_timeout_ms", service.connect_timeout_ms, 1, service.timeout_ms
     )
@@ -98,7 +96,7 @@
             f"{path}.limits.queue_timeout_ms",
             limits.queue_timeout_ms,
             0,
-            TIMEOUT_MAXIMUM_MS,
+            MAX_TIMEOUT_MS,
         )
     if selection is not None:
         for name in ("spill_over_ratio", "ejection_ratio"):
@@ -110,7 +108,7 @@
                 f"{path}.selection.{name}",
                 getattr(selection, name),
                 0,
-                TIMEOUT_MAXIMUM_MS,
+                MAX_TIMEOUT_MS,
             )
 
 
@@ -136,7 +134,7 @@
             )
     if route.timeout_ms is not None:
         yield from _check_range(
-            f"{path}.timeout_ms", route.timeout_ms, 1, TIMEOUT_MAXIMUM_MS
+            f"{path}.timeout_ms", route.timeout_ms, 1, MAX_TIMEOUT_MS
         )
 
 
@@ -147,29 +145,29 @@
     for name, share in shares.items():
         yield from _check_range(f"{path}.class_shares.{name}", share, 0, 1)
     for index, patch in enumerate(preset.services):
-        place = f"{path}.services[{index}]"
+        patch_path = f"{path}.services[{index}]"
         if patch.service not in services:
             yield Fault(
-                f"{place}.service",
+                f"{patch_path}.service",
                 f"{patch.service!r} is no service",
                 "name one of the services",
             )
         if patch.timeout_ms is not None:
             yield from _check_range(
-                f"{place}.timeout_ms", patch.timeout_ms, 1, TIMEOUT_MAXIMUM_MS
+                f"{patch_path}.timeout_ms", patch.timeout_ms, 1, MAX_TIMEOUT_MS
             )
-        yield from _check_rules(place, patch.retry, patch.limits, patch.selection)
+        yield from _check_rules(patch_path, patch.retry, patch.limits, patch.selection)
     for index, route_patch in enumerate(preset.routes):
-        place = f"{path}.routes[{index}]"
+        patch_path = f"{path}.routes[{index}]"
         if route_patch.route not in routes:
             yield Fault(
-                f"{place}.route",
+                f"{patch_path}.route",
                 f"{route_patch.route!r} is no route",
                 "name one of the routes",
             )
         if route_patch.service is not None and route_patch.service not in services:
             yield Fault(
-                f"{place}.service",
+                f"{patch_path}.service",
                 f"{route_patch.service!r} is no service",
                 "name one of the services",
             )
--- a/azurestep/config/validate.py
+++ b/azurestep/config/validate.py
@@ -26,8 +26,8 @@
 from .rules import check_configuration
 
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
-DEPTH_MAXIMUM = 16
-ENTRIES_MAXIMUM = 20_000
+MAX_DEPTH = 16
+MAX_ENTRIES = 20_000
 
 STRICT = cattrs.Converter(forbid_extra_keys=True, detailed_validation=True)
 TOLERANT = cattrs.Converter(forbid_extra_keys=False, detailed_validation=True)
@@ -72,9 +72,9 @@
         return _failure("$", f"is not JSON: {error}", "correct the text at that place")
     if not isinstance(plain, dict):
         return _failure("$", "is not an object", "write the configuration as {...}")
-    if _depth(plain) > DEPTH_MAXIMUM:
+    if _depth(plain) > MAX_DEPTH:
         return _failure(
-            "$", f"is nested deeper than {DEPTH_MAXIMUM}", "remove the extra nesting"
+            "$", f"is nested deeper than {MAX_DEPTH}", "remove the extra nesting"
         )
     return Success(plain)
 
@@ -86,7 +86,7 @@
 def _depth(value: Any) -> int:
     depth = 0
     level = [value]
-    while level and depth <= DEPTH_MAXIMUM:
+    while level and depth <= MAX_DEPTH:
         depth += 1
         level = [
             item
@@ -99,9 +99,9 @@
 
 def validate(document: Document) -> Result[Configuration, Faults]:
     """Structure a document that came from the log and check it whole."""
-    if len(document.entries) > ENTRIES_MAXIMUM:
+    if len(document.entries) > MAX_ENTRIES:
         return _failure(
-            "$", f"has more than {ENTRIES_MAXIMUM} entries", "remove unused entries"
+            "$", f"has more than {MAX_ENTRIES} entries", "remove unused entries"
         )
     malformed = tuple(_check_entries(document))
     if malformed:
--- a/azurestep/once/accept.py
+++ b/azurestep/once/accept.py
@@ -83,7 +83,7 @@
         interval = self.fold.state(slot_id).covering(key.time_ms)
         if interval is None:
             return self._refuse_unowned(request, slot_id, key, now)
-        if interval.node not in self.members.reached(request.service):
+        if interval.node not in self.members.reachable(request.service):
             return self.refuse(request, Reason.OWNER_UNREACHABLE, now)
         wait_ms = min(request.remaining_ms, self.settings.forward_timeout_ms)
         self._forwarded[request.request_id] = _Forwarded(
@@ -106,20 +106,22 @@
         outcome = Outcome.NOT_RUN if is_first else Outcome.MAY_HAVE_RUN
         return self._answer(request, outcome, reason, now)
 
-    def refuse_for_good(
+    def refuse_permanently(
         self, request: RequestArrived, reason: Reason, now: Moment
     ) -> AnswerCaller:
         """Answer a request whose key no node ever accepts."""
         return self._answer(request, Outcome.NOT_RUN, reason, now, final=True)
 
-    def owner_answered(self, answer: OwnerAnswer, now: Moment) -> list[AnswerCaller]:
+    def apply_owner_answer(
+        self, answer: OwnerAnswer, now: Moment
+    ) -> list[AnswerCaller]:
         """Pass an owner's answer on; a late one is dropped."""
         forwarded = self._forwarded.pop(answer.request_id, None)
         if forwarded is None:
             return []
         return [self.answer_of(forwarded.request, answer, now)]
 
-    def forward_failed(
+    def fail_forward(
         self, request_id: str, bytes_sent: bool, now: Moment
     ) -> list[AnswerCaller]:
         """Answer a request that did not reach its owner."""
@@ -141,7 +143,7 @@
         return [
             answer
             for request_id in late
-            for answer in self.forward_failed(request_id, True, now)
+            for answer in self.fail_forward(request_id, True, now)
         ]
 
     def answer_of(
@@ -171,7 +173,7 @@
         now: Moment,
     ) -> AnswerCaller:
         if self.fold.is_gap(slot_id, key.time_ms):
-            return self.refuse_for_good(request, Reason.NEVER_OWNED, now)
+            return self.refuse_permanently(request, Reason.NEVER_OWNED, now)
         return self.refuse(request, Reason.NO_OWNER, now)
 
     def _is_open(self, slot_id: SlotId, now: Moment) -> bool:
@@ -179,7 +181,7 @@
         if interval is None:
             return False
         if interval.node != self.node:
-            return interval.node in self.members.reached(slot_id.service)
+            return interval.node in self.members.reachable(slot_id.service)
         tenure = self.owner.tenure_at(slot_id, now.wall_ms)
         return tenure is not None and tenure.state is TenureState.OPEN
 
--- a/azurestep/once/checkpoints.py
+++ b/azurestep/once/checkpoints.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define
-class CheckpointPace:
+class CheckpointSchedule:
     """Has one owner append a checkpoint, and the next one if it does not.
 
     All owners rank each other in the same order, newly shuffled after each
@@ -22,8 +22,8 @@
     node: NodeId
     settings: OnceSettings
     _as_of: int | None = None
-    _records: float = 0.0
-    _at_ms: float = 0.0
+    _due_records: float = 0.0
+    _due_ms: float = 0.0
 
     def is_due(self, fold: OwnershipFold, now: Moment) -> bool:
         """Return whether to append a checkpoint now."""
@@ -31,8 +31,8 @@
             self._as_of = fold.checkpoint_as_of
             self._plan(fold, now)
         records = fold.next_offset - 1 - max(fold.checkpoint_as_of, 0)
-        is_late = now.monotonic_ms >= self._at_ms and records > 1
-        if records < self._records and not is_late:
+        is_late = now.monotonic_ms >= self._due_ms and records > 1
+        if records < self._due_records and not is_late:
             return False
         self._plan(fold, now)
         return True
@@ -42,9 +42,9 @@
             state.last.node for state in fold.states.values() if state.last is not None
         }
         order = SlotId("checkpoint", fold.checkpoint_as_of)
-        place = rank(order, self.node, owners)
+        position = rank(order, self.node, owners)
         if self.node not in owners:
-            place += len(owners)
-        delay = 1 + DELAY_RATIO_PER_RANK * place
-        self._records = self.settings.checkpoint_records * delay
-        self._at_ms = now.monotonic_ms + self.settings.checkpoint_interval_ms * delay
+            position += len(owners)
+        delay = 1 + DELAY_RATIO_PER_RANK * position
+        self._due_records = self.settings.checkpoint_records * delay
+        self._due_ms = now.monotonic_ms + self.settings.checkpoint_interval_ms * delay
--- a/azurestep/once/claims.py
+++ b/azurestep/once/claims.py
@@ -7,7 +7,7 @@
 import attrs
 
 from .assignment import preferred_owner
-from .checkpoints import CheckpointPace
+from .checkpoints import CheckpointSchedule
 from .fold import OwnershipFold, SlotId
 from .members import Members
 from .messages import AppendRecord, Moment
@@ -17,7 +17,7 @@
 from .slots import SlotState
 from .tenure import TenureState
 
-MIN_CLOCK_WITNESSES = 3
+MIN_CLOCK_SAMPLES = 3
 CLOCK_TOLERANCE_INTERVALS = 2
 
 
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class ClaimKeeper:
+class ClaimScheduler:
     """Decides on the records that this node appends for itself.
 
     One append is on its way at a time. A repeated or late record does no harm,
@@ -50,18 +50,18 @@
     _pending: _Pending | None = None
     _append_count: int = 0
     _extend_before_ms: float = 0.0
-    _checkpoints: CheckpointPace = attrs.field(init=False)
+    _checkpoints: CheckpointSchedule = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._draw_extension()
-        self._checkpoints = CheckpointPace(self.node, self.settings)
+        self._schedule_extension()
+        self._checkpoints = CheckpointSchedule(self.node, self.settings)
 
     def next_id(self) -> str:
         """Return an id that no other record has."""
         self._append_count += 1
         return f"{self.node.incarnation}-{self._append_count}"
 
-    def append_done(self, append_id: str, offset: int) -> None:
+    def record_append(self, append_id: str, offset: int) -> None:
         """Wait until the record is read back."""
         if self._pending is not None and self._pending.append_id == append_id:
             self._pending = attrs.evolve(self._pending, offset=offset)
@@ -77,7 +77,7 @@
             for interval in state.intervals[-1:]
             if interval.node != self.node
         }
-        if len(ends) < MIN_CLOCK_WITNESSES:
+        if len(ends) < MIN_CLOCK_SAMPLES:
             return True
         tolerance_ms = CLOCK_TOLERANCE_INTERVALS * self.settings.ownership_interval_ms
         return now.wall_ms <= statistics.median(ends.values()) + tolerance_ms
@@ -112,7 +112,7 @@
 
     # Extending
 
-    def _draw_extension(self) -> None:
+    def _schedule_extension(self) -> None:
         half_ms = self.settings.ownership_interval_ms / 2
         jitter = self.random.random() * self.settings.extend_jitter_ratio
         self._extend_before_ms = half_ms * (1 + jitter)
@@ -125,7 +125,7 @@
             if self._is_due(fold.state(slot_id), tenures[-1].state, now):
                 due[slot_id.service].append(slot_id.slot)
         if due:
-            self._draw_extension()
+            self._schedule_extension()
         end_ms = now.wall_ms + self.settings.ownership_interval_ms
         return [
             Extend(self.next_id(), self.node, service, tuple(extended), end_ms)
--- a/azurestep/once/decision.py
+++ b/azurestep/once/decision.py
@@ -8,9 +8,9 @@
 
 from .. import events
 from .accept import FIRST_ATTEMPT, AcceptRole
-from .claims import ClaimKeeper
+from .claims import ClaimScheduler
 from .fold import OwnershipFold
-from .handover import HandoverKeeper
+from .handover import HandoverManager
 from .key import parse_key
 from .members import Members
 from .messages import (
@@ -70,9 +70,9 @@
     members: Members = attrs.field(init=False, factory=Members)
     owner: OwnerRole = attrs.field(init=False)
     accept: AcceptRole = attrs.field(init=False)
-    claims: ClaimKeeper = attrs.field(init=False)
-    handovers: HandoverKeeper = attrs.field(init=False)
-    _local: dict[str, RequestArrived] = attrs.field(init=False, factory=dict)
+    claims: ClaimScheduler = attrs.field(init=False)
+    handovers: HandoverManager = attrs.field(init=False)
+    _local_requests: dict[str, RequestArrived] = attrs.field(init=False, factory=dict)
     _has_read: bool = attrs.field(init=False, default=False)
     _is_log_reachable: bool = attrs.field(init=False, default=True)
     _stopping: bool = attrs.field(init=False, default=False)
@@ -88,8 +88,10 @@
             self.owner,
             self.random,
         )
-        self.claims = ClaimKeeper(self.node, self.service, self.settings, self.random)
-        self.handovers = HandoverKeeper(self.settings, self.owner, self.claims)
+        self.claims = ClaimScheduler(
+            self.node, self.service, self.settings, self.random
+        )
+        self.handovers = HandoverManager(self.settings, self.owner, self.claims)
 
     def set_service(self, service: str) -> None:
         """Name the service whose slots this node may own from now on."""
@@ -116,13 +118,13 @@
             message = attrs.evolve(message, key=minted.text, attempt=FIRST_ATTEMPT)
         parsed = parse_key(message.key)
         if not isinstance(parsed, Success):
-            return [self.accept.refuse_for_good(message, Reason.KEY_INVALID, now)]
+            return [self.accept.refuse_permanently(message, Reason.KEY_INVALID, now)]
         key = parsed.unwrap()
         message = attrs.evolve(message, key=key.text)
         slot_id = self.accept.slot_id(message.service, key)
-        if self.owner.knows(slot_id, key):
+        if self.owner.is_responsible_for(slot_id, key):
             request = _owner_request(message, None, self.accept)
-            self._local[message.request_id] = message
+            self._local_requests[message.request_id] = message
             return self._convert(self.owner.accept(request, now), now)
         return [self.accept.route(message, key, now)]
 
@@ -145,7 +147,7 @@
 
     @_handle_peer.register
     def _(self, message: OwnerAnswer, sender: NodeId, now: Moment) -> list[Output]:
-        return [*self.accept.owner_answered(message, now)]
+        return [*self.accept.apply_owner_answer(message, now)]
 
     @_handle_peer.register
     def _(self, message: TableTransfer, sender: NodeId, now: Moment) -> list[Output]:
@@ -157,21 +159,19 @@
 
     @_handle_peer.register
     def _(self, message: TableReceipt, sender: NodeId, now: Moment) -> list[Output]:
-        return [*self.handovers.receipt(message.transfer_id)]
+        return [*self.handovers.apply_receipt(message.transfer_id)]
 
     @_handle.register
     def _(self, message: ForwardFailed, now: Moment) -> list[Output]:
-        return [
-            *self.accept.forward_failed(message.request_id, message.bytes_sent, now)
-        ]
+        return [*self.accept.fail_forward(message.request_id, message.bytes_sent, now)]
 
     @_handle.register
     def _(self, message: DispatchFailed, now: Moment) -> list[Output]:
-        return self._convert(self.owner.dispatch_failed(message), now)
+        return self._convert(self.owner.record_dispatch_failure(message), now)
 
     @_handle.register
     def _(self, message: BackendServerAnswered, now: Moment) -> list[Output]:
-        return self._convert(self.owner.answered(message), now)
+        return self._convert(self.owner.record_answer(message), now)
 
     @_handle.register
     def _(self, message: LogRecordsRead, now: Moment) -> list[Output]:
@@ -181,8 +181,8 @@
         )
         self._has_read = True
         owned = self.owner.slot_ids
-        self.owner.follow(self.fold, changed)
-        self.handovers.follow(self.fold)
+        self.owner.apply_ownership(self.fold, changed)
+        self.handovers.drop_completed(self.fold)
         outputs: list[Output] = []
         if was_complete and not self.fold.complete:
             detail = f"ownership records before offset {self.fold.next_offset}"
@@ -201,12 +201,12 @@
     @_handle.register
     def _(self, message: LogRegressed, now: Moment) -> list[Output]:
         self.owner.disable()
-        self.fold.regress()
+        self.fold.invalidate()
         return [Emit(events.OWNERSHIP_DISABLED, "the ownership log lost records")]
 
     @_handle.register
     def _(self, message: AppendDone, now: Moment) -> list[Output]:
-        self.claims.append_done(message.append_id, message.offset)
+        self.claims.record_append(message.append_id, message.offset)
         return []
 
     @_handle.register
@@ -227,7 +227,7 @@
     def _(self, message: StopRequested, now: Moment) -> list[Output]:
         if not self._stopping:
             self._stopping = True
-            self.handovers.stop(self.members, now)
+            self.handovers.hand_over_all(self.members, now)
         return self._handle(Tick(), now)
 
     @_handle.register
@@ -264,7 +264,7 @@
     def _convert_reply(self, reply: Reply, now: Moment) -> Output:
         if reply.receiver is not None:
             return SendToPeer(reply.receiver, reply.answer)
-        request = self._local.pop(reply.answer.request_id)
+        request = self._local_requests.pop(reply.answer.request_id)
         return self.accept.answer_of(request, reply.answer, now)
 
 
--- a/azurestep/once/fold.py
+++ b/azurestep/once/fold.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class _Read:
+class _BufferedRecord:
     offset: int
     record: OwnershipRecord
 
@@ -69,7 +69,7 @@
     horizon_ms: int = 0
     slot_counts: dict[str, int] = attrs.field(factory=dict)
     states: dict[SlotId, SlotState] = attrs.field(factory=dict)
-    _buffer: list[_Read] = attrs.field(factory=list)
+    _buffer: list[_BufferedRecord] = attrs.field(factory=list)
     _buffer_start: int = 0
 
     def apply_entries(
@@ -86,22 +86,22 @@
             Slots whose state changed.
         """
         if from_offset > self.next_offset:
-            self._lose_records(from_offset)
+            self._mark_incomplete(from_offset)
         changed: set[SlotId] = set()
         for entry in entries:
             if entry.offset < self.next_offset:
                 continue
             if entry.offset > self.next_offset:
-                self._lose_records(entry.offset)
+                self._mark_incomplete(entry.offset)
             self.next_offset = entry.offset + 1
-            changed |= self._read_entry(entry)
+            changed |= self._apply_entry(entry)
         if next_offset > self.next_offset:
-            self._lose_records(next_offset)
+            self._mark_incomplete(next_offset)
         return changed
 
-    def regress(self) -> None:
+    def invalidate(self) -> None:
         """Distrust what was read, because the log holds fewer records now."""
-        self._lose_records(self.next_offset)
+        self._mark_incomplete(self.next_offset)
 
     def state(self, slot_id: SlotId) -> SlotState:
         """Return the state of a slot."""
@@ -129,34 +129,34 @@
             ),
         )
 
-    def _lose_records(self, from_offset: int) -> None:
+    def _mark_incomplete(self, from_offset: int) -> None:
         self.complete = False
         self.next_offset = from_offset
         self.states = {}
         self._buffer = []
         self._buffer_start = from_offset
 
-    def _read_entry(self, entry: LogEntry) -> set[SlotId]:
+    def _apply_entry(self, entry: LogEntry) -> set[SlotId]:
         decoded = decode_record(entry.payload)
         if not isinstance(decoded, Success):
             if decoded.failure() is RecordProblem.FORMAT_UNSUPPORTED:
-                self._lose_records(entry.offset + 1)
+                self._mark_incomplete(entry.offset + 1)
             return set()
         record = decoded.unwrap()
         if isinstance(record, Checkpoint):
-            return self._read_checkpoint(record, entry.offset)
+            return self._apply_checkpoint(record, entry.offset)
         if not self.complete:
-            self._keep(_Read(entry.offset, record))
+            self._buffer_record(_BufferedRecord(entry.offset, record))
             return set()
-        return self._apply(record)
+        return self._apply_record(record)
 
-    def _keep(self, read: _Read) -> None:
+    def _buffer_record(self, read: _BufferedRecord) -> None:
         self._buffer.append(read)
         if len(self._buffer) > MAX_BUFFERED_RECORDS:
             dropped = self._buffer.pop(0)
             self._buffer_start = dropped.offset + 1
 
-    def _read_checkpoint(self, record: Checkpoint, offset: int) -> set[SlotId]:
+    def _apply_checkpoint(self, record: Checkpoint, offset: int) -> set[SlotId]:
         if record.as_of >= offset:
             return set()
         self.checkpoint_as_of = max(self.checkpoint_as_of, record.as_of)
@@ -174,14 +174,14 @@
         }
         for read in self._buffer:
             if read.offset > record.as_of:
-                self._apply(read.record)
+                self._apply_record(read.record)
         self._buffer = []
         return set(self.states)
 
-    def _apply(self, record: OwnershipRecord) -> set[SlotId]:
+    def _apply_record(self, record: OwnershipRecord) -> set[SlotId]:
         if isinstance(record, Checkpoint):
             return set()
-        if isinstance(record, Claim) and not self._admits_count(record):
+        if isinstance(record, Claim) and not self._accepts_slot_count(record):
             return set()
         changed = set()
         for slot_id, after in self._next_states(record):
@@ -206,7 +206,7 @@
             else:
                 yield slot_id, slots.extend(state, record)
 
-    def _admits_count(self, record: Claim) -> bool:
+    def _accepts_slot_count(self, record: Claim) -> bool:
         if not is_slot_count(record.slot_count):
             return False
         count = self.slot_counts.setdefault(record.service, record.slot_count)
--- a/azurestep/once/handover.py
+++ b/azurestep/once/handover.py
@@ -6,7 +6,7 @@
 import attrs
 
 from .assignment import preferred_owner
-from .claims import ClaimKeeper
+from .claims import ClaimScheduler
 from .fold import OwnershipFold, SlotId
 from .members import Members
 from .messages import (
@@ -52,7 +52,7 @@
     service: str
     tenures: dict[SlotId, Tenure]
     successor: NodeId | None
-    is_stop: bool
+    is_shutdown: bool
     deadline_ms: float
     phase: Phase = Phase.DRAINING
     digest: str = ""
@@ -65,7 +65,7 @@
 
 
 @attrs.define
-class HandoverKeeper:
+class HandoverManager:
     """Runs the handovers of a node.
 
     The order matters: close the tenures, wait for running keys, send the table,
@@ -75,7 +75,7 @@
 
     settings: OnceSettings
     owner: OwnerRole
-    claims: ClaimKeeper
+    claims: ClaimScheduler
     _handovers: list[Handover] = attrs.field(factory=list)
     _rebalance_at_ms: float = 0.0
 
@@ -84,11 +84,11 @@
         """Whether no handover is under way."""
         return not self._handovers
 
-    def stop(self, members: Members, now: Moment) -> None:
+    def hand_over_all(self, members: Members, now: Moment) -> None:
         """Hand every slot to a successor, as the node stops."""
         for handover in self._handovers:
-            handover.is_stop = True
-        self._start(self._movable(), members, now, is_stop=True)
+            handover.is_shutdown = True
+        self._start(self._open_slot_ids(), members, now, is_shutdown=True)
 
     def rebalance(self, members: Members, now: Moment) -> None:
         """Hand over some slots that now prefer another live member."""
@@ -101,13 +101,13 @@
         live = members.live(service) | {self.owner.node}
         moving = [
             slot_id
-            for slot_id in self._movable()
+            for slot_id in self._open_slot_ids()
             if slot_id.service == service
             and preferred_owner(slot_id, live) != self.owner.node
         ]
-        self._start(moving[:MAX_REBALANCED_SLOTS], members, now, is_stop=False)
+        self._start(moving[:MAX_REBALANCED_SLOTS], members, now, is_shutdown=False)
 
-    def receipt(self, transfer_id: str) -> list[HandoverOutput]:
+    def apply_receipt(self, transfer_id: str) -> list[HandoverOutput]:
         """Release, now that the successor holds the table."""
         outputs: list[HandoverOutput] = []
         for handover in self._handovers:
@@ -115,7 +115,7 @@
                 outputs.append(self._append_release(handover))
         return outputs
 
-    def follow(self, fold: OwnershipFold) -> None:
+    def drop_completed(self, fold: OwnershipFold) -> None:
         """Forget the handovers that were read back from the log."""
         self._handovers = [
             handover
@@ -139,7 +139,7 @@
             return False
         return last.state is IntervalState.HELD
 
-    def _movable(self) -> list[SlotId]:
+    def _open_slot_ids(self) -> list[SlotId]:
         return [
             slot_id
             for slot_id, tenures in sorted(self.owner.tenures.items())
@@ -147,7 +147,12 @@
         ]
 
     def _start(
-        self, slot_ids: list[SlotId], members: Members, now: Moment, *, is_stop: bool
+        self,
+        slot_ids: list[SlotId],
+        members: Members,
+        now: Moment,
+        *,
+        is_shutdown: bool,
     ) -> None:
         groups: dict[_Destination, list[SlotId]] = defaultdict(list)
         for slot_id in slot_ids:
@@ -164,7 +169,7 @@
                     destination.service,
                     tenures,
                     destination.successor,
-                    is_stop,
+                    is_shutdown,
                     now.monotonic_ms + self.settings.handover_timeout_ms,
                 )
             )
@@ -177,7 +182,7 @@
             return self._send_table(handover, now)
         if not is_late:
             return []
-        if handover.phase is Phase.SENT and not handover.is_stop:
+        if handover.phase is Phase.SENT and not handover.is_shutdown:
             self._cancel(handover)
             return []
         handover.deadline_ms = now.monotonic_ms + self.settings.append_timeout_ms
--- a/azurestep/once/members.py
+++ b/azurestep/once/members.py
@@ -11,13 +11,13 @@
     """Live node processes of each service, and since when they are unchanged."""
 
     _live: dict[str, frozenset[NodeId]] = attrs.field(factory=dict)
-    _reached: dict[str, frozenset[NodeId]] = attrs.field(factory=dict)
+    _reachable: dict[str, frozenset[NodeId]] = attrs.field(factory=dict)
     _changed_ms: dict[str, float] = attrs.field(factory=dict)
 
     def update(self, message: MembersChanged, now: Moment) -> None:
         """Take over a report."""
         live = frozenset(message.live)
-        self._reached[message.service] = live | frozenset(message.others)
+        self._reachable[message.service] = live | frozenset(message.others)
         if self._live.get(message.service) == live:
             return
         self._live[message.service] = live
@@ -27,9 +27,9 @@
         """Return the live node processes of a service."""
         return self._live.get(service, frozenset())
 
-    def reached(self, service: str) -> frozenset[NodeId]:
+    def reachable(self, service: str) -> frozenset[NodeId]:
         """Return the live node processes that may own slots of a service."""
-        return self._reached.get(service, frozenset())
+        return self._reachable.get(service, frozenset())
 
     def is_settled(self, service: str, now: Moment, settle_ms: int) -> bool:
         """Return whether the members were unchanged for a time."""
--- a/azurestep/once/owner.py
+++ b/azurestep/once/owner.py
@@ -19,7 +19,7 @@
 )
 from .records import Interval, NodeId
 from .settings import OnceSettings
-from .table import KeyTable, TableKey, trim
+from .table import KeyTable, TableKey, trim_answer
 from .tenure import Tenure, TenureState
 
 MAX_INBOUND_TABLES = 64
@@ -78,10 +78,10 @@
 
     # Ownership
 
-    def follow(self, fold: OwnershipFold, changed: set[SlotId]) -> None:
+    def apply_ownership(self, fold: OwnershipFold, changed: set[SlotId]) -> None:
         """Take over what the log says of this node's intervals."""
         for slot_id in changed:
-            self._follow_slot(slot_id, fold)
+            self._apply_slot(slot_id, fold)
 
     def disable(self) -> None:
         """Accept no key any more, because the log lost records."""
@@ -99,7 +99,7 @@
         """Slots of which this node owns an interval."""
         return set(self.tenures)
 
-    def knows(self, slot_id: SlotId, key: IdempotencyKey) -> bool:
+    def is_responsible_for(self, slot_id: SlotId, key: IdempotencyKey) -> bool:
         """Return whether this node must answer for a key."""
         if self.table.get(slot_id.service, key.text) is not None:
             return True
@@ -116,20 +116,20 @@
                 if tenure.digest == transfer.digest:
                     self._load_table(slot_id, tenure)
 
-    def _follow_slot(self, slot_id: SlotId, fold: OwnershipFold) -> None:
+    def _apply_slot(self, slot_id: SlotId, fold: OwnershipFold) -> None:
         known = {tenure.id: tenure for tenure in self.tenures.get(slot_id, ())}
         kept = []
         for interval in fold.state(slot_id).intervals:
             if interval.node != self.node:
                 continue
-            tenure = known.get(interval.tenure) or self._begin(slot_id, interval)
+            tenure = known.get(interval.tenure) or self._begin_tenure(slot_id, interval)
             tenure.end_ms = interval.end_ms
             kept.append(tenure)
         self.tenures[slot_id] = kept
         if not kept:
             del self.tenures[slot_id]
 
-    def _begin(self, slot_id: SlotId, interval: Interval) -> Tenure:
+    def _begin_tenure(self, slot_id: SlotId, interval: Interval) -> Tenure:
         tenure = Tenure(
             interval.tenure,
             interval.start_ms,
@@ -261,7 +261,7 @@
 
     # Runs
 
-    def dispatch_failed(self, message: DispatchFailed) -> list[OwnerOutput]:
+    def record_dispatch_failure(self, message: DispatchFailed) -> list[OwnerOutput]:
         """Record that a run ended without an answer."""
         table_key = self._runs.pop(message.run_id, None)
         if table_key is None:
@@ -276,14 +276,14 @@
             table_key, Outcome.NOT_RUN, Reason.DISPATCH_REFUSED
         )
 
-    def answered(self, message: BackendServerAnswered) -> list[OwnerOutput]:
+    def record_answer(self, message: BackendServerAnswered) -> list[OwnerOutput]:
         """Record the answer of a run."""
         table_key = self._runs.pop(message.run_id, None)
         if table_key is None:
             return []
         kept = message.answer
         if kept.size_bytes > self.settings.max_answer_bytes:
-            kept = trim(kept)
+            kept = trim_answer(kept)
         self._record(table_key, KeyState.RAN, kept)
         return self._release_waiters(table_key, Outcome.RAN, Reason.RAN, message.answer)
 
@@ -301,7 +301,7 @@
 
     def tick(self, now: Moment) -> list[OwnerOutput]:
         """Drop old keys and answer those who waited too long."""
-        self._drop_old_keys(now)
+        self._expire_keys(now)
         outputs: list[OwnerOutput] = []
         for table_key, waiters in list(self._waiters.items()):
             late = [item for item in waiters if item.deadline_ms <= now.monotonic_ms]
@@ -314,12 +314,12 @@
             ]
         return outputs
 
-    def _drop_old_keys(self, now: Moment) -> None:
+    def _expire_keys(self, now: Moment) -> None:
         oldest_ms = now.wall_ms - self.settings.key_window_ms
-        for slot_id, trusted_from_ms in self.table.drop_older(oldest_ms).items():
+        for slot_id, trusted_from_ms in self.table.expire_before(oldest_ms).items():
             for tenure in self.tenures.get(slot_id, ()):
-                newest_ms = max(tenure.dropped_before_ms, trusted_from_ms)
-                tenure.dropped_before_ms = newest_ms
+                newest_ms = max(tenure.expired_before_ms, trusted_from_ms)
+                tenure.expired_before_ms = newest_ms
 
     def _record(
         self, table_key: TableKey, state: KeyState, answer: KeptAnswer | None
--- a/azurestep/once/table.py
+++ b/azurestep/once/table.py
@@ -30,7 +30,7 @@
 class KeyTable:
     """What happened to each accepted key.
 
-    A key leaves the table only through ``drop_older``, which names the slots
+    A key leaves the table only through ``expire_before``, which names the slots
     and key times that are no longer complete, or because nothing ran.
     """
 
@@ -76,7 +76,7 @@
         known = self._entries.pop(TableKey(service, key), None)
         self._answers_bytes -= _answer_bytes(known)
 
-    def drop_older(self, time_ms: int) -> dict[SlotId, int]:
+    def expire_before(self, time_ms: int) -> dict[SlotId, int]:
         """Drop the keys older than a key time, but for running ones.
 
         Returns
@@ -122,12 +122,12 @@
             if entry is None or entry.answer is None:
                 continue
             before_bytes = _answer_bytes(entry)
-            trimmed = attrs.evolve(entry, answer=trim(entry.answer))
+            trimmed = attrs.evolve(entry, answer=trim_answer(entry.answer))
             self._entries[table_key] = trimmed
             self._answers_bytes -= before_bytes
 
 
-def trim(answer: KeptAnswer) -> KeptAnswer:
+def trim_answer(answer: KeptAnswer) -> KeptAnswer:
     """Return an answer without headers and body."""
     return KeptAnswer(answer.status, trimmed=True)
 
--- a/azurestep/once/tenure.py
+++ b/azurestep/once/tenure.py
@@ -24,7 +24,7 @@
     complete_from_ms : int
         Key time from which on this node got every key that a former owner
         accepted.
-    dropped_before_ms : int
+    expired_before_ms : int
         Key time below which keys were dropped from the table.
     max_accepted_ms : int
         Newest key time accepted.
@@ -35,14 +35,14 @@
     end_ms: int
     complete_from_ms: int
     digest: str = ""
-    dropped_before_ms: int = 0
+    expired_before_ms: int = 0
     max_accepted_ms: int = 0
     state: TenureState = TenureState.OPEN
 
     @property
     def trusted_from_ms(self) -> int:
         """Key time from which on the table holds every accepted key."""
-        return max(self.complete_from_ms, self.dropped_before_ms)
+        return max(self.complete_from_ms, self.expired_before_ms)
 
     def covers(self, time_ms: int) -> bool:
         """Return whether a key time lies inside."""
--- a/tests/fixtures_fold.py
+++ b/tests/fixtures_fold.py
@@ -19,7 +19,7 @@
 )
 from azurestep.platform.records import LogRecord, Page
 
-FEED_MAXIMUM_PAGES = 1000
+MAX_FED_PAGES = 1000
 
 
 def plain_configuration(timeout_ms=1000):
@@ -86,7 +86,7 @@
 
     def feed(self, fold, limit=1000):
         events = []
-        for _ in range(FEED_MAXIMUM_PAGES):
+        for _ in range(MAX_FED_PAGES):
             page = self.page(fold.next_offset, limit)
             events.extend(fold.apply_page(page))
             if not page.records or fold.is_halted:
--- a/tests/test_once_fold.py
+++ b/tests/test_once_fold.py
@@ -208,7 +208,7 @@
 def test_regressed_log_needs_a_checkpoint_of_what_is_read_from_then_on():
     first = Claim("x", A, SERVICE, 1, (0,), 0, 100)
     fold = fold_of([first])
-    fold.regress()
+    fold.invalidate()
     old = fold_of([]).checkpoint("k")
     fold.apply_entries(1, log_of([old], 1), 2)
     assert not fold.complete
--- a/tests/test_once_histories.py
+++ b/tests/test_once_histories.py
@@ -103,13 +103,13 @@
 
 
 def forget_that_keys_were_dropped(monkeypatch):
-    drop = KeyTable.drop_older
+    drop = KeyTable.expire_before
 
     def unguarded(self, time_ms):
         drop(self, time_ms)
         return {}
 
-    monkeypatch.setattr(KeyTable, "drop_older", unguarded)
+    monkeypatch.setattr(KeyTable, "expire_before", unguarded)
 
 
 def accept_during_a_release(monkeypatch):
