--- a/azurestep/once/accept.py
+++ b/azurestep/once/accept.py
@@ -1,4 +1,4 @@
-"""The accepting node's part: find the owner, and say what is known."""
+"""Role of the node that a caller contacts: forwards requests to key owners."""
 
 from random import Random
 
@@ -34,10 +34,10 @@
 
 @attrs.define
 class AcceptRole:
-    """Sends requests of callers to the owners of their keys.
+    """Forwards callers' requests to the owners of their keys.
 
-    It says "not run" only if the key provably was never accepted, or if the
-    caller declared this as the only copy and no byte of it left.
+    Answers "not run" only if the key can't have been accepted, or if the caller
+    declared this copy as the only one and no byte of it was sent.
     """
 
     node: NodeId
@@ -57,7 +57,7 @@
         return SlotId(service, key.slot(self.slot_count(service)))
 
     def open_slots(self, service: str, now: Moment) -> tuple[int, ...]:
-        """Return the slots that take a key of now, at owners in reach."""
+        """Return the slots that accept a key created now at a reachable owner."""
         return tuple(
             slot
             for slot in range(self.slot_count(service))
@@ -65,7 +65,7 @@
         )
 
     def mint(self, service: str, now: Moment) -> IdempotencyKey:
-        """Create a key, for a slot of this node if it has one open."""
+        """Create a key, preferably for an open slot of this node."""
         open_slots = self.open_slots(service, now)
         own = [
             slot
@@ -78,7 +78,7 @@
     def route(
         self, request: RequestArrived, key: IdempotencyKey, now: Moment
     ) -> SendToPeer | AnswerCaller:
-        """Forward a request to the owner, another node, or refuse it."""
+        """Forward a request to its owner, which is another node, or refuse it."""
         slot_id = self.slot_id(request.service, key)
         interval = self.fold.state(slot_id).covering(key.time_ms)
         if interval is None:
@@ -101,7 +101,7 @@
     def refuse(
         self, request: RequestArrived, reason: Reason, now: Moment
     ) -> AnswerCaller:
-        """Answer a request of which this copy certainly did not run."""
+        """Refuse a request; this copy of it did not run."""
         is_first = request.attempt == FIRST_ATTEMPT
         outcome = Outcome.NOT_RUN if is_first else Outcome.MAY_HAVE_RUN
         return self._answer(request, outcome, reason, now)
@@ -109,13 +109,13 @@
     def refuse_permanently(
         self, request: RequestArrived, reason: Reason, now: Moment
     ) -> AnswerCaller:
-        """Answer a request whose key no node ever accepts."""
+        """Refuse a request whose key no node will ever accept."""
         return self._answer(request, Outcome.NOT_RUN, reason, now, final=True)
 
     def apply_owner_answer(
         self, answer: OwnerAnswer, now: Moment
     ) -> list[AnswerCaller]:
-        """Pass an owner's answer on; a late one is dropped."""
+        """Return the caller's answer; none if the request already timed out."""
         forwarded = self._forwarded.pop(answer.request_id, None)
         if forwarded is None:
             return []
@@ -134,7 +134,7 @@
         return [self._answer(request, Outcome.MAY_HAVE_RUN, Reason.OWNER_SILENT, now)]
 
     def tick(self, now: Moment) -> list[AnswerCaller]:
-        """Answer the requests whose owner was silent for too long."""
+        """Answer the requests whose owner did not answer in time."""
         late = [
             request_id
             for request_id, forwarded in self._forwarded.items()
@@ -149,10 +149,10 @@
     def answer_of(
         self, request: RequestArrived, answer: OwnerAnswer, now: Moment
     ) -> AnswerCaller:
-        """Return the answer to a caller from an owner's answer.
+        """Convert an owner's answer to the caller's answer.
 
-        An owner that did not accept this copy can't speak for others; if the
-        caller promised that there are none, the request did not run.
+        An owner that did not accept this copy doesn't know about other copies.
+        If the caller declared that there are none, the request did not run.
         """
         outcome = answer.outcome
         if answer.reason in NOT_ACCEPTED and request.attempt == FIRST_ATTEMPT:
--- a/azurestep/once/answers.py
+++ b/azurestep/once/answers.py
@@ -1,4 +1,4 @@
-"""What an answer to a caller says, and why."""
+"""Outcomes of requests, their reasons and kept answers."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(StrEnum):
-    """What an answer says of a request."""
+    """Whether a request ran, as reported to the caller."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -15,7 +15,7 @@
 
 
 class Reason(StrEnum):
-    """Why an answer is what it is."""
+    """Reason for an outcome."""
 
     RAN = "ran"
     KEY_INVALID = "key_invalid"
@@ -63,12 +63,12 @@
 
 @attrs.frozen
 class KeptAnswer:
-    """An answer of a backend server, kept for callers that send again.
+    """An answer of a backend server, kept for client retries.
 
     Attributes
     ----------
     trimmed : bool
-        Whether headers and body were left out because they were too large.
+        Whether headers and body were dropped because they were too large.
     """
 
     status: int
--- a/azurestep/once/assignment.py
+++ b/azurestep/once/assignment.py
@@ -1,4 +1,4 @@
-"""Which node should own a slot: rendezvous hashing over the live members."""
+"""Assignment of slots to live members by rendezvous hashing."""
 
 from collections.abc import Iterable
 
@@ -9,16 +9,16 @@
 
 
 def preferred_owner(slot_id: SlotId, live: Iterable[NodeId]) -> NodeId | None:
-    """Return the member that a slot prefers, or None without members.
+    """Return the member that should own a slot, or None without members.
 
-    Nodes that see different members may answer differently; the log decides
-    such a race.
+    Nodes that see different members may disagree; the order of the log then
+    decides.
     """
     return max(live, key=lambda node: (_weight(slot_id, node), node), default=None)
 
 
 def rank(slot_id: SlotId, node: NodeId, others: Iterable[NodeId]) -> int:
-    """Return how many other nodes a slot prefers to a node."""
+    """Return how many other nodes rank above a node for a slot."""
     own = (_weight(slot_id, node), node)
     return sum((_weight(slot_id, other), other) > own for other in others)
 
--- a/azurestep/once/checkpoints.py
+++ b/azurestep/once/checkpoints.py
@@ -1,4 +1,4 @@
-"""When a node appends a checkpoint of the ownership log."""
+"""Schedule of the checkpoints of the ownership log."""
 
 import attrs
 
@@ -13,10 +13,10 @@
 
 @attrs.define
 class CheckpointSchedule:
-    """Has one owner append a checkpoint, and the next one if it does not.
+    """Decides when this node appends a checkpoint.
 
-    All owners rank each other in the same order, newly shuffled after each
-    checkpoint; each waits a tenth longer than the one before it.
+    Every node computes the same ranking of the owners, which changes with each
+    checkpoint. Lower ranks wait longer, so usually only the first one appends.
     """
 
     node: NodeId
--- a/azurestep/once/claims.py
+++ b/azurestep/once/claims.py
@@ -1,4 +1,4 @@
-"""When an owner claims, extends and checkpoints."""
+"""Schedule of the claims, extensions and checkpoints of a node."""
 
 import statistics
 from collections import defaultdict
@@ -30,16 +30,16 @@
 
 @attrs.define
 class ClaimScheduler:
-    """Decides on the records that this node appends for itself.
+    """Decides which claims, extensions and checkpoints this node appends.
 
-    One append is on its way at a time. A repeated or late record does no harm,
-    because the fold refuses what does not fit.
+    One append is in flight at a time. Repeated or late records are harmless,
+    because the fold ignores records that don't match its state.
 
     Attributes
     ----------
     is_clock_ahead : bool
-        Whether the last records were held back because the clock is far ahead
-        of the other owners'.
+        Whether the last records were withheld because this node's clock is far
+        ahead of the other owners' clocks.
     """
 
     node: NodeId
@@ -57,19 +57,19 @@
         self._checkpoints = CheckpointSchedule(self.node, self.settings)
 
     def next_id(self) -> str:
-        """Return an id that no other record has."""
+        """Return a unique record id."""
         self._append_count += 1
         return f"{self.node.incarnation}-{self._append_count}"
 
     def record_append(self, append_id: str, offset: int) -> None:
-        """Wait until the record is read back."""
+        """Record the offset of an append, to wait until it is read back."""
         if self._pending is not None and self._pending.append_id == append_id:
             self._pending = attrs.evolve(self._pending, offset=offset)
 
     def is_clock_plausible(self, fold: OwnershipFold, now: Moment) -> bool:
-        """Return whether the own clock agrees with what other owners wrote.
+        """Return whether the local clock agrees with the other owners' records.
 
-        A claim from a clock far ahead would block the slot until then.
+        A claim with a start far in the future would block the slot until then.
         """
         ends = {
             interval.node: interval.end_ms
--- a/azurestep/once/decision.py
+++ b/azurestep/once/decision.py
@@ -1,4 +1,4 @@
-"""The decision that a node's process drives."""
+"""State machine of the at-most-once guarantee of one node process."""
 
 from functools import singledispatchmethod
 from random import Random
@@ -47,19 +47,21 @@
 
 @attrs.define
 class OnceDecision:
-    """At-most-once for the requests of one node process.
+    """Decides how one node process handles non-idempotent requests.
+
+    Does no I/O: each input returns the outputs for the caller to carry out.
 
     Parameters
     ----------
     node : NodeId
-        This process; its incarnation is drawn anew at every start.
+        This process, with a new random incarnation at every start.
     service : str
         Service of the local backend server, whose slots this node may own;
-        empty until one announced itself.
+        empty until a backend server registered.
     settings : OnceSettings
-        Pace and bounds.
+        Intervals, timeouts and limits.
     random : Random
-        Source of minted keys and of jitter.
+        Random numbers for new keys and jitter.
     """
 
     node: NodeId
@@ -94,7 +96,7 @@
         self.handovers = HandoverManager(self.settings, self.owner, self.claims)
 
     def set_service(self, service: str) -> None:
-        """Name the service whose slots this node may own from now on."""
+        """Set the service whose slots this node may own."""
         self.service = service
         self.claims.service = service
 
@@ -104,12 +106,12 @@
         return self.fold.next_offset
 
     def handle(self, message: Input, now: Moment) -> list[Output]:
-        """Take an input and return what to do, in order."""
+        """Handle an input and return the outputs in the order to carry out."""
         return self._handle(message, now)
 
     @singledispatchmethod
     def _handle(self, message: object, now: Moment) -> list[Output]:
-        raise TypeError(f"{type(message).__name__} is no input of this decision")
+        raise TypeError(f"{type(message).__name__} is not an input of OnceDecision")
 
     @_handle.register
     def _(self, message: RequestArrived, now: Moment) -> list[Output]:
@@ -136,7 +138,7 @@
     def _handle_peer(
         self, message: object, sender: NodeId, now: Moment
     ) -> list[Output]:
-        raise TypeError(f"{type(message).__name__} is no message of a peer")
+        raise TypeError(f"{type(message).__name__} is not a peer message")
 
     @_handle_peer.register
     def _(self, message: ForwardedRequest, sender: NodeId, now: Moment) -> list[Output]:
@@ -236,8 +238,7 @@
         outputs += self._convert(self.owner.tick(now), now)
         if self._has_read and not self._stopping and not self.owner.disabled:
             outputs += self._claim(now)
-            # A slot that begins to move stays closed until its release is read
-            # back, which takes the log.
+            # A slot stays closed during a handover, which needs the log to finish.
             if self._is_log_reachable:
                 self.handovers.rebalance(self.members, now)
         outputs += self.handovers.tick(now)
--- a/azurestep/once/fold.py
+++ b/azurestep/once/fold.py
@@ -1,4 +1,4 @@
-"""Fold of the ownership log, equal on every node that reads it."""
+"""Ownership state computed from the log, the same on every node that reads it."""
 
 from collections.abc import Iterator
 
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class LogEntry:
-    """One record as the platform's log returned it."""
+    """One undecoded record of the platform's log."""
 
     offset: int
     payload: bytes
@@ -47,16 +47,16 @@
 
 @attrs.define
 class OwnershipFold:
-    """Who owns which key times of which slot.
+    """Owners of the key times of each slot.
 
-    A fold that has read every record, or that has adopted a checkpoint and read
-    every record after the checkpoint's ``as_of``, is complete. An incomplete
-    fold proves nothing. Offsets are dense, so a hole is a lost record.
+    The fold is complete if it has applied every record, or a checkpoint and
+    every record after its ``as_of``. While incomplete it knows no owners.
+    Offsets are contiguous, so a missing offset is a lost record.
 
     Attributes
     ----------
     next_offset : int
-        Offset of the first record not yet read.
+        Offset of the first record not yet applied.
     complete : bool
         Whether no record is missing.
     checkpoint_as_of : int
@@ -75,10 +75,10 @@
     def apply_entries(
         self, from_offset: int, entries: tuple[LogEntry, ...], next_offset: int
     ) -> set[SlotId]:
-        """Fold the records of ``from_offset`` up to ``next_offset``.
+        """Apply the records from ``from_offset`` up to ``next_offset``.
 
-        Records already read are skipped. If ``from_offset`` lies beyond what was
-        read, the records between are lost and the fold becomes incomplete.
+        Records already applied are skipped. Missing records make the fold
+        incomplete.
 
         Returns
         -------
@@ -100,7 +100,7 @@
         return changed
 
     def invalidate(self) -> None:
-        """Distrust what was read, because the log holds fewer records now."""
+        """Drop the state, because the log lost records that were applied."""
         self._mark_incomplete(self.next_offset)
 
     def state(self, slot_id: SlotId) -> SlotState:
@@ -108,7 +108,7 @@
         return self.states.get(slot_id) or SlotState(self.horizon_ms)
 
     def is_gap(self, slot_id: SlotId, time_ms: int) -> bool:
-        """Return whether a key of this time provably never ran nor can run."""
+        """Return whether no node can ever have run or run a key of this time."""
         return self.complete and self.state(slot_id).is_gap(time_ms)
 
     def checkpoint(self, record_id: str) -> Checkpoint:
--- a/azurestep/once/handover.py
+++ b/azurestep/once/handover.py
@@ -1,4 +1,4 @@
-"""Handing slots and their keys to a successor."""
+"""Handover of slots and their keys to a successor."""
 
 from collections import defaultdict
 from enum import StrEnum
@@ -28,7 +28,7 @@
 
 
 class Phase(StrEnum):
-    """How far a handover is."""
+    """Phase of a handover."""
 
     DRAINING = "draining"
     SENT = "sent"
@@ -46,7 +46,7 @@
 
 @attrs.define
 class Handover:
-    """Slots of one service on their way to one successor."""
+    """A handover of slots of one service to one successor."""
 
     id: str
     service: str
@@ -60,7 +60,7 @@
 
     @property
     def slot_ids(self) -> set[SlotId]:
-        """Slots that move."""
+        """Slots that are handed over."""
         return set(self.tenures)
 
 
@@ -68,9 +68,9 @@
 class HandoverManager:
     """Runs the handovers of a node.
 
-    The order matters: close the tenures, wait for running keys, send the table,
-    append the release. Once a release was handed to the log, the tenures never
-    open again, because it may take effect at any later time.
+    Each handover closes the tenures, waits for running keys, sends the table and
+    then appends the release. Once the release was sent to the log, the tenures
+    stay closed, because it may take effect at any later time.
     """
 
     settings: OnceSettings
@@ -81,17 +81,17 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no handover is under way."""
+        """Whether no handover is in progress."""
         return not self._handovers
 
     def hand_over_all(self, members: Members, now: Moment) -> None:
-        """Hand every slot to a successor, as the node stops."""
+        """Start to hand over every slot, for a shutdown."""
         for handover in self._handovers:
             handover.is_shutdown = True
         self._start(self._open_slot_ids(), members, now, is_shutdown=True)
 
     def rebalance(self, members: Members, now: Moment) -> None:
-        """Hand over some slots that now prefer another live member."""
+        """Start to hand over slots whose preferred owner is another live member."""
         if self._handovers or now.monotonic_ms < self._rebalance_at_ms:
             return
         service = self.claims.service
@@ -108,7 +108,7 @@
         self._start(moving[:MAX_REBALANCED_SLOTS], members, now, is_shutdown=False)
 
     def apply_receipt(self, transfer_id: str) -> list[HandoverOutput]:
-        """Release, now that the successor holds the table."""
+        """Release the slots whose table the successor has received."""
         outputs: list[HandoverOutput] = []
         for handover in self._handovers:
             if handover.id == transfer_id and handover.phase is Phase.SENT:
@@ -116,7 +116,7 @@
         return outputs
 
     def drop_completed(self, fold: OwnershipFold) -> None:
-        """Forget the handovers that were read back from the log."""
+        """Remove the handovers whose release was read back from the log."""
         self._handovers = [
             handover
             for handover in self._handovers
@@ -124,7 +124,7 @@
         ]
 
     def tick(self, now: Moment) -> list[HandoverOutput]:
-        """Move each handover on."""
+        """Advance each handover."""
         outputs: list[HandoverOutput] = []
         for handover in list(self._handovers):
             outputs += self._advance(handover, now)
--- a/azurestep/once/key.py
+++ b/azurestep/once/key.py
@@ -1,7 +1,7 @@
-"""Idempotency keys: UUIDs of version 7, whose time never changes.
+"""Idempotency keys: UUIDs of version 7.
 
-The 48-bit time of a key decides which ownership interval it belongs to, and its
-last byte decides its slot.
+The 48-bit timestamp of a key selects its ownership interval, and its last byte
+selects its slot.
 """
 
 import random
@@ -27,11 +27,11 @@
     Attributes
     ----------
     text : str
-        Canonical text, so that two spellings of a UUID are one key.
+        Canonical text of the UUID.
     time_ms : int
         Creation time in milliseconds since the epoch, by the caller's clock.
     last_byte : int
-        Last byte, 0 to 255.
+        Last byte of the UUID, 0 to 255.
     """
 
     text: str
@@ -39,7 +39,7 @@
     last_byte: int
 
     def slot(self, slot_count: int) -> int:
-        """Return the slot among a power-of-two number of slots."""
+        """Return the slot of the key; ``slot_count`` is a power of two."""
         return self.last_byte & (slot_count - 1)
 
 
@@ -56,19 +56,19 @@
     >>> parse_key("0190163D-8694-739B-AEA5-966C26F8AD91").unwrap().time_ms
     1718360049300
     >>> parse_key("order-17").failure()
-    'the key is no UUID'
+    'the key is not a UUID'
     """
     try:
         value = uuid.UUID(text.strip().strip('"'))
     except ValueError:
-        return Failure("the key is no UUID")
+        return Failure("the key is not a UUID")
     if value.variant != uuid.RFC_4122 or value.version != KEY_VERSION:
-        return Failure("the key is a UUID without a creation time")
+        return Failure("the key is not a UUID of version 7")
     return Success(_key_of(value))
 
 
 def mint_key(now_ms: int, last_byte: int, source: random.Random) -> IdempotencyKey:
-    """Create a key for a time and a last byte."""
+    """Create a key with a given time and last byte, random otherwise."""
     value = (now_ms & TIME_MASK) << TIME_SHIFT_BITS
     value |= VERSION_BITS | VARIANT_BITS
     value |= source.getrandbits(RANDOM_A_BITS) << 64
@@ -78,7 +78,7 @@
 
 
 def is_slot_count(slot_count: int) -> bool:
-    """Return whether a number of slots is usable: a power of two up to 256."""
+    """Return whether a number of slots is valid: a power of two up to 256."""
     in_range = 0 < slot_count <= LAST_BYTE_VALUES
     return in_range and slot_count & (slot_count - 1) == 0
 
--- a/azurestep/once/members.py
+++ b/azurestep/once/members.py
@@ -1,4 +1,4 @@
-"""Live nodes as the membership reports them."""
+"""Live nodes of each service as the membership reports them."""
 
 import attrs
 
@@ -8,14 +8,14 @@
 
 @attrs.define
 class Members:
-    """Live node processes of each service, and since when they are unchanged."""
+    """Live node processes of each service, with the time of the last change."""
 
     _live: dict[str, frozenset[NodeId]] = attrs.field(factory=dict)
     _reachable: dict[str, frozenset[NodeId]] = attrs.field(factory=dict)
     _changed_ms: dict[str, float] = attrs.field(factory=dict)
 
     def update(self, message: MembersChanged, now: Moment) -> None:
-        """Take over a report."""
+        """Apply a report of the membership."""
         live = frozenset(message.live)
         self._reachable[message.service] = live | frozenset(message.others)
         if self._live.get(message.service) == live:
@@ -24,7 +24,7 @@
         self._changed_ms[message.service] = now.monotonic_ms
 
     def live(self, service: str) -> frozenset[NodeId]:
-        """Return the live node processes of a service."""
+        """Return the live node processes that may claim slots of a service."""
         return self._live.get(service, frozenset())
 
     def reachable(self, service: str) -> frozenset[NodeId]:
@@ -32,6 +32,6 @@
         return self._reachable.get(service, frozenset())
 
     def is_settled(self, service: str, now: Moment, settle_ms: int) -> bool:
-        """Return whether the members were unchanged for a time."""
+        """Return whether the live members are unchanged for ``settle_ms``."""
         changed_ms = self._changed_ms.get(service)
         return changed_ms is not None and now.monotonic_ms - changed_ms >= settle_ms
--- a/azurestep/once/messages.py
+++ b/azurestep/once/messages.py
@@ -1,4 +1,4 @@
-"""Messages into and out of the decision."""
+"""Inputs and outputs of ``OnceDecision``."""
 
 import attrs
 
@@ -41,9 +41,9 @@
     ----------
     wall_ms : int
         Wall-clock time in milliseconds since the epoch; only compared with the
-        times of keys, and never trusted.
+        times of keys.
     monotonic_ms : float
-        Time that never goes back; drives every timeout.
+        Monotonic time, used for every timeout.
     """
 
     wall_ms: int
@@ -55,22 +55,22 @@
 
 @attrs.frozen
 class RequestArrived:
-    """A caller's request that must not repeat.
+    """A caller's non-idempotent request.
 
     Attributes
     ----------
     request_id : str
-        Unique in the fleet and for all time.
+        Globally unique id, never reused.
     service : str
-        Service of the route before any preset, so that a key keeps its owner.
+        Service of the route without presets, so that a key keeps its owner.
     key : str
         Value of ``Idempotency-Key``; empty if absent.
     fingerprint : str
         Digest of method, target and body.
     attempt : int
-        Value of ``Azurestep-Attempt``; 0 if absent. A caller that sends 1
-        promises that every earlier copy was answered "not run", and that it
-        sends no other before it has the answer or has closed the connection.
+        Value of ``Azurestep-Attempt``; 0 if absent. With 1 the caller declares
+        that every earlier copy was answered "not run", and that it sends no
+        other before it has the answer or has closed the connection.
     remaining_ms : int
         Time left until the caller's deadline.
     """
@@ -93,12 +93,12 @@
 
 @attrs.frozen
 class ForwardFailed:
-    """A request did not reach the owner.
+    """A request could not be forwarded to the owner.
 
     Attributes
     ----------
     bytes_sent : bool
-        Whether any part may have left this node, or still may.
+        Whether any part was sent or may still be sent.
     """
 
     request_id: str
@@ -112,8 +112,8 @@
     Attributes
     ----------
     bytes_sent : bool
-        Whether a backend server may have run the request; false if no byte
-        left, or if the backend server said that it refused.
+        Whether a backend server may have run the request; false if no byte was
+        sent or the backend server refused the request.
     """
 
     run_id: str
@@ -122,7 +122,7 @@
 
 @attrs.frozen
 class BackendServerAnswered:
-    """A run ended with a whole answer."""
+    """A run ended with a complete answer."""
 
     run_id: str
     answer: KeptAnswer
@@ -135,10 +135,10 @@
     Attributes
     ----------
     from_offset : int
-        First offset that the read covers; above the offset asked for if
-        retention dropped records.
+        First offset of the read; above the requested offset if retention
+        dropped records.
     next_offset : int
-        Offset after the last one covered.
+        Offset after the last one of the read.
     """
 
     from_offset: int
@@ -148,12 +148,12 @@
 
 @attrs.frozen
 class LogRegressed:
-    """The platform's log holds fewer records than were already read."""
+    """The platform's log ends before records that were already read."""
 
 
 @attrs.frozen
 class AppendDone:
-    """An append took effect; the fold still waits to read it back."""
+    """An append was acknowledged; the record still has to be read back."""
 
     append_id: str
     offset: int
@@ -166,7 +166,7 @@
     Attributes
     ----------
     may_have_taken_effect : bool
-        Whether the record may be on the log, or still may get there.
+        Whether the record may be on the log now or later.
     """
 
     append_id: str
@@ -175,14 +175,14 @@
 
 @attrs.frozen
 class MembersChanged:
-    """Live nodes of a service, over all data centres that this node reaches.
+    """Live nodes of a service in all reachable data centres.
 
     Attributes
     ----------
     live : tuple of NodeId
         Nodes that may claim slots.
     others : tuple of NodeId
-        Further live nodes, which may still own slots from before.
+        Other live nodes, which may still own slots that they claimed earlier.
     """
 
     service: str
@@ -192,19 +192,19 @@
 
 @attrs.frozen
 class LogHealth:
-    """Whether the platform's log answers, as far as the membership knows."""
+    """Whether the platform's log is reachable, according to the membership."""
 
     is_reachable: bool
 
 
 @attrs.frozen
 class Tick:
-    """Time passed; send one every 100 to 1000 ms."""
+    """Advances the timers; sent every 100 to 1000 ms."""
 
 
 @attrs.frozen
 class StopRequested:
-    """The node stops gracefully; wait for ``Stopped``."""
+    """Starts a graceful shutdown, which ends with ``Stopped``."""
 
 
 Input = (
@@ -229,14 +229,14 @@
 
 @attrs.frozen
 class RunHere:
-    """Send a request to a backend server, once.
+    """Run a request at a backend server once.
 
-    Report ``DispatchFailed`` or ``BackendServerAnswered`` with the run's id.
+    The result is reported as ``DispatchFailed`` or ``BackendServerAnswered``.
 
     Attributes
     ----------
     request_id : str
-        Request whose body is sent.
+        Request to send.
     sender : NodeId or None
         Node that forwarded the request; None for a caller of this node.
     """
@@ -253,7 +253,7 @@
 class SendToPeer:
     """Send a message to a node process.
 
-    The body of the request goes with a ``ForwardedRequest``.
+    A ``ForwardedRequest`` is sent together with the body of the request.
     """
 
     receiver: NodeId
@@ -267,13 +267,13 @@
     Attributes
     ----------
     key : str
-        Key of the request, minted if the caller sent none.
+        Key of the request, generated if the caller sent none.
     final : bool
-        Whether no request with this key ever runs. Otherwise "not run" speaks
-        of this copy of the request alone: the same key is always safe to send
-        again, a new one only once every copy sent was answered "not run".
+        Whether no request with this key will ever run. Otherwise "not run" is
+        about this copy only: resending with the same key is always safe, with a
+        new key only once every copy was answered "not run".
     open_slots : tuple of int
-        Slots whose owners this node reaches, for ``Azurestep-Open-Slots``.
+        Slots with reachable owners, for ``Azurestep-Open-Slots``.
     slot_count : int
         Number of slots of the service.
     """
@@ -297,9 +297,9 @@
 
 @attrs.frozen
 class AppendRecord:
-    """Append a record to the ownership stream, at most one attempt.
+    """Append a record to the ownership stream, without retries.
 
-    Report ``AppendDone`` or ``AppendFailed`` with the append's id.
+    The result is reported as ``AppendDone`` or ``AppendFailed``.
     """
 
     append_id: str
@@ -316,12 +316,12 @@
 
 @attrs.frozen
 class Stopped:
-    """The graceful stop is complete.
+    """The graceful shutdown is complete.
 
     Attributes
     ----------
     slots_left : int
-        Slots that no successor took; their keys stay "may have run".
+        Slots without a successor; retries of their keys get "may have run".
     """
 
     slots_left: int
--- a/azurestep/once/owner.py
+++ b/azurestep/once/owner.py
@@ -1,4 +1,4 @@
-"""The owner's part: accept a key once, run it, keep its answer."""
+"""Role of the owner: accepts each key once, runs it and keeps its answer."""
 
 import attrs
 
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class OwnerRequest:
-    """A request at its owner, from a caller here or from another node."""
+    """A request at its owner, from a caller of this node or from another node."""
 
     request_id: str
     sender: NodeId | None
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Reply:
-    """An owner's answer and where it goes; None is a caller of this node."""
+    """An owner's answer; the receiver is None for a caller of this node."""
 
     receiver: NodeId | None
     key: str
@@ -59,11 +59,11 @@
 
 @attrs.define
 class OwnerRole:
-    """Accepts keys inside the intervals that the log gave to this process.
+    """Accepts keys in the intervals that the log assigns to this process.
 
-    The role never trusts a clock: a key is accepted only if its own time lies
-    inside an interval that was read back from the log. As intervals of a slot
-    are disjoint, no other process ever accepts the same key.
+    A key is accepted only if its creation time lies in an interval read back
+    from the log. Intervals of a slot are disjoint, so no other process accepts
+    the same key.
     """
 
     node: NodeId
@@ -79,12 +79,12 @@
     # Ownership
 
     def apply_ownership(self, fold: OwnershipFold, changed: set[SlotId]) -> None:
-        """Take over what the log says of this node's intervals."""
+        """Update this node's tenures of changed slots from the log's state."""
         for slot_id in changed:
             self._apply_slot(slot_id, fold)
 
     def disable(self) -> None:
-        """Accept no key any more, because the log lost records."""
+        """Accept no more keys, because the log lost records."""
         self.disabled = True
 
     def tenure_at(self, slot_id: SlotId, time_ms: int) -> Tenure | None:
@@ -100,13 +100,13 @@
         return set(self.tenures)
 
     def is_responsible_for(self, slot_id: SlotId, key: IdempotencyKey) -> bool:
-        """Return whether this node must answer for a key."""
+        """Return whether this node accepted a key or owns its time."""
         if self.table.get(slot_id.service, key.text) is not None:
             return True
         return self.tenure_at(slot_id, key.time_ms) is not None
 
     def receive_table(self, transfer: TableTransfer) -> None:
-        """Keep a predecessor's table until the log names this node."""
+        """Keep a predecessor's table until the log makes this node the owner."""
         self._inbound[transfer.digest] = transfer
         if len(self._inbound) > MAX_INBOUND_TABLES:
             self._inbound.pop(next(iter(self._inbound)))
@@ -171,7 +171,7 @@
         return [self.refuse(request, reason)]
 
     def refuse(self, request: OwnerRequest, reason: Reason) -> Reply:
-        """Return the answer to a request that this node did not accept."""
+        """Return the refusal of a request that this node did not accept."""
         is_proven = reason in PROVEN_NOT_RUN
         outcome = Outcome.NOT_RUN if is_proven else Outcome.MAY_HAVE_RUN
         return self._reply(request, outcome, reason)
@@ -300,7 +300,7 @@
         )
 
     def tick(self, now: Moment) -> list[OwnerOutput]:
-        """Drop old keys and answer those who waited too long."""
+        """Expire old keys and answer requests that waited too long."""
         self._expire_keys(now)
         outputs: list[OwnerOutput] = []
         for table_key, waiters in list(self._waiters.items()):
--- a/azurestep/once/peers.py
+++ b/azurestep/once/peers.py
@@ -1,7 +1,6 @@
 """Messages between nodes.
 
-They are flat enough for positional arrays; new fields go to the end, with a
-default.
+Fields are encoded by position: new fields go to the end and have a default.
 """
 
 from enum import StrEnum
@@ -13,12 +12,12 @@
 
 @attrs.frozen
 class ForwardedRequest:
-    """A request on its way from the accepting node to the owner.
+    """A request that a node forwards to the owner of its key.
 
     Attributes
     ----------
     request_id : str
-        Unique in the fleet and for all time.
+        Globally unique id, never reused.
     remaining_ms : int
         Time left until the caller's deadline.
     """
@@ -37,7 +36,7 @@
     Attributes
     ----------
     replayed : bool
-        Whether the answer is the kept one of an earlier attempt.
+        Whether this is the kept answer of an earlier attempt.
     """
 
     request_id: str
@@ -49,7 +48,7 @@
 
 
 class KeyState(StrEnum):
-    """What a table knows of a key."""
+    """State of a key in a table."""
 
     RUNNING = "running"
     RAN = "ran"
@@ -58,7 +57,7 @@
 
 @attrs.frozen
 class TableEntry:
-    """One key of a table that is handed over."""
+    """One key in the table of an owner."""
 
     service: str
     slot: int
@@ -71,7 +70,7 @@
 
 @attrs.frozen
 class TrustedSlot:
-    """From which key time on a table holds every key of a slot."""
+    """Key time from which on a table holds every accepted key of a slot."""
 
     slot: int
     trusted_from_ms: int
@@ -90,7 +89,7 @@
 
 @attrs.frozen
 class TableReceipt:
-    """The successor holds a transferred table."""
+    """Confirms that the successor received a table."""
 
     transfer_id: str
 
--- a/azurestep/once/records.py
+++ b/azurestep/once/records.py
@@ -20,8 +20,8 @@
     instance : str
         Name of the instance.
     incarnation : str
-        Random text drawn at the start of the process, so that it never repeats;
-        the counter of the membership must not be used here.
+        Random text generated at the start of the process. The membership's
+        counter must not be used here, because it may repeat.
     """
 
     instance: str
@@ -29,7 +29,7 @@
 
 
 class IntervalState(StrEnum):
-    """What the log says of an interval."""
+    """Whether an interval is still held by its owner."""
 
     HELD = "held"
     RELEASED = "released"
@@ -48,12 +48,12 @@
     tenure : str
         Id of the record that made this node the owner.
     state : IntervalState
-        Whether the owner still holds it.
+        Whether the owner still holds the interval.
     cut_ms : int
-        Keys from this time on were never accepted by a former owner; below it
-        the owner needs the table that was handed over.
+        Key time from which on no former owner accepted a key; for earlier times
+        the owner needs the table of the handover.
     digest : str
-        Digest of that table; empty when nothing was handed over.
+        Digest of that table; empty without a handover.
     """
 
     node: NodeId
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class Claim:
-    """A node process asks for slots from a key time on."""
+    """A node process claims slots for a range of key times."""
 
     id: str
     node: NodeId
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class Extend:
-    """An owner moves the end of its intervals."""
+    """An owner extends its intervals."""
 
     id: str
     node: NodeId
@@ -95,9 +95,9 @@
 
 @attrs.frozen
 class HeldSlot:
-    """A slot and the tenure that is given up.
+    """A slot that is released, with its tenure.
 
-    The tenure keeps a late copy of a release from ending a later tenure.
+    The tenure prevents a late copy of a release from ending a later tenure.
     """
 
     slot: int
@@ -106,19 +106,18 @@
 
 @attrs.frozen
 class Release:
-    """An owner gives slots up, to a successor if it names one.
+    """An owner releases slots, optionally to a successor.
 
     Attributes
     ----------
     held : tuple of HeldSlot
-        What is given up.
+        Slots that are released.
     cut_ms : int
-        The owner accepted no key of this time or later, and accepts none after
-        it appended the record.
+        Key time from which on the owner accepted no key.
     successor : NodeId or None
         Next owner of the same intervals.
     digest : str
-        Digest of the table that the successor was sent.
+        Digest of the table that was sent to the successor.
     """
 
     id: str
@@ -150,14 +149,14 @@
 
 @attrs.frozen
 class Checkpoint:
-    """The whole state, appended again before retention drops its records.
+    """The complete ownership state, for readers of a log with dropped records.
 
     Attributes
     ----------
     as_of : int
         Offset of the last record that the state includes; -1 for none.
     horizon_ms : int
-        Key time below which nothing is known of slots that are not listed.
+        Key time below which the owners of unlisted slots are unknown.
     """
 
     id: str
@@ -180,7 +179,7 @@
 
 
 class RecordProblem(StrEnum):
-    """Why a record was not read."""
+    """Why a record can't be decoded."""
 
     MALFORMED = "malformed"
     FORMAT_UNSUPPORTED = "format_unsupported"
@@ -193,13 +192,13 @@
 
 
 def decode_record(raw: bytes) -> Result[OwnershipRecord, RecordProblem]:
-    """Read a record from its JSON form.
+    """Decode a record from its JSON form.
 
     Returns
     -------
     Result
-        The record; ``MALFORMED`` for what every reader ignores alike, and
-        ``FORMAT_UNSUPPORTED`` for what a newer program wrote.
+        The record; ``MALFORMED`` for a record that every reader ignores, or
+        ``FORMAT_UNSUPPORTED`` for one that a newer program wrote.
     """
     try:
         document: Any = orjson.loads(raw)
--- a/azurestep/once/settings.py
+++ b/azurestep/once/settings.py
@@ -8,46 +8,46 @@
 
 @attrs.frozen
 class OnceSettings:
-    """Pace and bounds of ownership.
+    """Intervals, timeouts and limits of ownership.
 
     Attributes
     ----------
     slot_count : int
         Slots of the key space, a power of two up to 256. The first claim on the
-        log fixes it for the life of the fleet.
+        log fixes it for the lifetime of the fleet.
     ownership_interval_ms : int
-        Length of an ownership interval; at most ``MAX_INTERVAL_MS``. Payments
-        go on through a platform outage of at least half of it, and a key whose
-        owner crashed is answered "may have run" for at most all of it.
+        Length of an ownership interval; at most ``MAX_INTERVAL_MS``. Requests
+        keep running through a platform outage of half of it, and keys of a
+        crashed owner are answered "may have run" for at most all of it.
     extend_jitter_ratio : float
-        Share of half an interval by which an extension is brought forward.
+        Maximum jitter of an extension as a ratio of half an interval.
     backdate_ms : int
         How far before now a new interval may start, for callers whose clock is
         behind.
     claim_ahead_ms : int
         How long before the end of a dead owner's interval the next is claimed.
     settle_ms : int
-        How long the membership must be unchanged before slots move.
+        How long the membership must be unchanged before slots are reassigned.
     key_window_ms : int
-        Age from which keys are dropped from the table.
+        Age at which keys expire from the table.
     max_keys : int
-        Keys in the table of a node; new ones are refused when it is full.
+        Keys in the table of a node; a full table refuses new keys.
     max_answer_bytes, max_answers_bytes : int
-        Largest kept answer, and all kept answers together.
+        Maximum size of one kept answer, and of all kept answers together.
     max_waiters : int
         Requests that may wait for the answer of one key.
     wait_timeout_ms, forward_timeout_ms : int
-        Longest wait for the answer of a running key, and of an owner.
+        Maximum wait for the answer of a running key, and for an owner's answer.
     append_timeout_ms : int
-        Time after which an append that was not read back is repeated.
+        Time after which an append that was not read back is retried.
     handover_timeout_ms : int
-        Longest time for running keys, and again for the successor's receipt.
+        Maximum wait for running keys, and then for the successor's receipt.
     rebalance_interval_ms : int
-        Least time between two moves of slots to members that they prefer.
+        Minimum time between two moves of slots to their preferred owners.
     checkpoint_records, checkpoint_interval_ms : int
         Records and time after which a checkpoint is appended.
     retry_after_ms : int
-        Delay advised to a refused caller.
+        Delay after which a refused caller should retry.
     """
 
     slot_count: int = 256
--- a/azurestep/once/slots.py
+++ b/azurestep/once/slots.py
@@ -1,7 +1,7 @@
-"""The rule by which one slot changes, as pure functions.
+"""State transitions of one slot, as pure functions.
 
 Intervals of one slot never overlap: a claim starts at or after the end of the
-last interval, only the last interval can be extended, and only by its owner.
+last interval, and only the owner of the last interval can extend it.
 """
 
 import attrs
@@ -14,14 +14,14 @@
 
 @attrs.frozen
 class SlotState:
-    """Intervals of one slot, the oldest first.
+    """Intervals of one slot.
 
     Attributes
     ----------
     horizon_ms : int
-        Key time below which the owners are forgotten.
+        Key time below which the owners are unknown.
     intervals : tuple of Interval
-        Disjoint, in the order of time.
+        Disjoint intervals, oldest first.
     """
 
     horizon_ms: int = 0
@@ -45,10 +45,9 @@
         return None
 
     def is_gap(self, time_ms: int) -> bool:
-        """Return whether no owner ever can have, or get, keys of this time.
+        """Return whether no node owns this key time or ever can.
 
-        True stays true whatever records follow, so an older state proves it as
-        well as the newest.
+        Later records can't change True to False, so an outdated state suffices.
         """
         if not self.horizon_ms <= time_ms < self.last_end_ms:
             return False
@@ -56,7 +55,7 @@
 
 
 def claim(state: SlotState, record: Claim) -> SlotState:
-    """Return the state after a claim; unchanged if it is refused."""
+    """Return the state after a claim; unchanged if the claim is invalid."""
     length_ms = record.end_ms - record.start_ms
     if not 0 < length_ms <= MAX_INTERVAL_MS:
         return state
@@ -73,7 +72,7 @@
 
 
 def extend(state: SlotState, record: Extend) -> SlotState:
-    """Return the state after an extension; unchanged if it is refused."""
+    """Return the state after an extension; unchanged if it is invalid."""
     last = state.last
     if last is None or not _is_held_by(last, record.node):
         return state
@@ -83,7 +82,7 @@
 
 
 def release(state: SlotState, record: Release, tenure: str) -> SlotState:
-    """Return the state after a release of a tenure; unchanged if it is refused."""
+    """Return the state after a release of a tenure; unchanged if it is invalid."""
     last = state.last
     if last is None or not _is_held_by(last, record.node) or last.tenure != tenure:
         return state
--- a/azurestep/once/table.py
+++ b/azurestep/once/table.py
@@ -1,4 +1,4 @@
-"""Table of the keys that an owner accepted, bounded in keys and in bytes."""
+"""Table of the keys that an owner accepted, limited in keys and in bytes."""
 
 import heapq
 from collections import deque
@@ -28,10 +28,10 @@
 
 @attrs.define
 class KeyTable:
-    """What happened to each accepted key.
+    """State and answer of each accepted key.
 
-    A key leaves the table only through ``expire_before``, which names the slots
-    and key times that are no longer complete, or because nothing ran.
+    A key is removed only if it did not run, or by ``expire_before``, which
+    returns the key times for which the table is still complete.
     """
 
     settings: OnceSettings
@@ -51,7 +51,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no new key fits."""
+        """Whether the table holds the maximum number of keys."""
         return len(self._entries) >= self.settings.max_keys
 
     def get(self, service: str, key: str) -> TableEntry | None:
@@ -59,7 +59,7 @@
         return self._entries.get(TableKey(service, key))
 
     def put(self, entry: TableEntry) -> None:
-        """Add an entry, or replace the one of the same key."""
+        """Add an entry or replace the entry of the same key."""
         table_key = TableKey(entry.service, entry.key)
         known = self._entries.get(table_key)
         if table_key not in self._aged:
@@ -72,18 +72,18 @@
         self._trim_answers()
 
     def remove(self, service: str, key: str) -> None:
-        """Forget a key of which nothing ran."""
+        """Remove a key."""
         known = self._entries.pop(TableKey(service, key), None)
         self._answers_bytes -= _answer_bytes(known)
 
     def expire_before(self, time_ms: int) -> dict[SlotId, int]:
-        """Drop the keys older than a key time, but for running ones.
+        """Remove the keys older than a key time, except running ones.
 
         Returns
         -------
         dict of SlotId to int
-            For each slot that lost a key, the key time from which on the table
-            is still complete.
+            For each slot with a removed key, the key time from which on the
+            table is still complete.
         """
         trusted_from_ms: dict[SlotId, int] = {}
         running = []
@@ -105,7 +105,7 @@
         return trusted_from_ms
 
     def entries_of(self, slot_ids: set[SlotId]) -> tuple[TableEntry, ...]:
-        """Return the entries of some slots in the order of their keys."""
+        """Return the entries of some slots, sorted by service and key."""
         found = (
             entry
             for entry in self._entries.values()
@@ -135,7 +135,7 @@
 def digest_of(
     transfer_id: str, slots: tuple[TrustedSlot, ...], entries: tuple[TableEntry, ...]
 ) -> str:
-    """Return a digest of a transfer, the same on every node."""
+    """Return the digest of a table transfer."""
     rows: list[list[object]] = [[transfer_id]]
     rows += [[slot.slot, slot.trusted_from_ms] for slot in slots]
     rows += [
--- a/azurestep/once/tenure.py
+++ b/azurestep/once/tenure.py
@@ -1,4 +1,4 @@
-"""An interval that this node owns, and whether it still accepts keys of it."""
+"""Tenures: the intervals that this node owns."""
 
 from enum import StrEnum
 
@@ -20,12 +20,12 @@
     Attributes
     ----------
     id : str
-        Id of the record that began it.
+        Id of the record that started the tenure.
     complete_from_ms : int
-        Key time from which on this node got every key that a former owner
+        Key time from which on this node received every key that a former owner
         accepted.
     expired_before_ms : int
-        Key time below which keys were dropped from the table.
+        Key time below which keys expired from the table.
     max_accepted_ms : int
         Newest key time accepted.
     """
--- a/tests/test_once_decision.py
+++ b/tests/test_once_decision.py
@@ -1,3 +1,5 @@
+"""Decisions of two node processes that share an ownership log."""
+
 import random
 
 import attrs
@@ -15,7 +17,7 @@
 
 @attrs.define
 class Pair:
-    """Two node processes that share a log; messages are carried by the test."""
+    """Two node processes with a shared log; the test delivers their messages."""
 
     nodes: list[OnceDecision]
     log: list[LogEntry] = attrs.field(factory=list)
@@ -26,7 +28,7 @@
         return m.Moment(NOW_MS + self.elapsed_ms, self.elapsed_ms)
 
     def send(self, index: int, message: m.Input) -> list[m.Output]:
-        """Handle an input, and whatever it makes the two nodes do."""
+        """Handle an input and carry out the outputs of both nodes."""
         seen = []
         todo = [(index, output) for output in self.handle(index, message)]
         while todo:
@@ -119,13 +121,13 @@
     assert [answer.request_id for answer in done] == ["r1", "r2"]
 
 
-def test_key_without_time_is_refused_for_good(pair):
+def test_key_without_time_is_refused_permanently(pair):
     (answer,) = pair.send(0, request(pair, key="order-17"))
     assert (answer.outcome, answer.final) == (m.Outcome.NOT_RUN, True)
     assert "UUID of version 7" in answer.remedy
 
 
-def test_missing_key_is_minted_for_an_own_slot(pair):
+def test_missing_key_is_created_for_a_local_slot(pair):
     (run,) = pair.send(1, request(pair, key=""))
     assert isinstance(run, m.RunHere) and run.sender is None
 
@@ -141,7 +143,7 @@
     ("bytes_sent", "outcome"),
     [(False, m.Outcome.NOT_RUN), (True, m.Outcome.MAY_HAVE_RUN)],
 )
-def test_failed_dispatch_says_what_is_known(pair, bytes_sent, outcome):
+def test_failed_dispatch_is_retried_only_if_nothing_was_sent(pair, bytes_sent, outcome):
     slot = slots_of(pair, 0)[0]
     (run,) = find(pair.send(0, request(pair, slot=slot)), m.RunHere)
     (answer,) = pair.send(0, m.DispatchFailed(run.run_id, bytes_sent))
@@ -154,7 +156,9 @@
     ("attempt", "outcome"),
     [(1, m.Outcome.NOT_RUN), (0, m.Outcome.MAY_HAVE_RUN), (2, m.Outcome.MAY_HAVE_RUN)],
 )
-def test_dead_owner_leaves_only_a_first_attempt_not_run(pair, attempt, outcome):
+def test_request_for_a_dead_owner_is_not_run_only_on_a_first_attempt(
+    pair, attempt, outcome
+):
     slot = slots_of(pair, 1)[0]
     pair.handle(0, m.MembersChanged(SERVICE, (pair.nodes[0].node,)))
     (answer,) = pair.send(0, request(pair, slot=slot, attempt=attempt))
@@ -162,7 +166,7 @@
     assert answer.open_slots == tuple(slots_of(pair, 0))
 
 
-def test_key_time_that_nobody_can_own_is_never_run(pair):
+def test_key_time_that_no_node_can_own_never_runs(pair):
     slot = slots_of(pair, 1)[0]
     key = mint_key(pair.now.wall_ms + 10_000_000, slot, random.Random(1)).text
     late = Claim("x", NodeId("c", "c1"), SERVICE, 32, (slot,), NOW_MS + 20_000_000, 0)
@@ -171,7 +175,7 @@
     assert (answer.outcome, answer.final) == (m.Outcome.NOT_RUN, True)
 
 
-def test_stop_hands_slots_and_answers_to_the_successor(pair):
+def test_shutdown_hands_slots_and_answers_to_the_successor(pair):
     slot = slots_of(pair, 0)[0]
     paid = request(pair, slot=slot)
     (run,) = find(pair.send(0, paid), m.RunHere)
@@ -183,7 +187,7 @@
     assert (answer.outcome, answer.answer.body) == (m.Outcome.RAN, b"paid")
 
 
-def test_successor_without_the_table_admits_that_it_does_not_know(pair):
+def test_successor_without_the_table_answers_may_have_run(pair):
     slot = slots_of(pair, 0)[0]
     before = request(pair, slot=slot)
     find(pair.send(0, before), m.RunHere)
@@ -198,7 +202,7 @@
     assert find(pair.send(1, request(pair, "r3", slot=slot)), m.RunHere)
 
 
-def test_full_table_refuses_and_keeps_what_it_has(pair):
+def test_full_table_refuses_new_keys(pair):
     node = pair.nodes[0]
     node.owner.table.settings = attrs.evolve(node.settings, max_keys=1)
     first, second = slots_of(pair, 0)[:2]
--- a/tests/test_once_fold.py
+++ b/tests/test_once_fold.py
@@ -1,3 +1,5 @@
+"""Ownership state computed from the log, also after lost records."""
+
 import attrs
 import pytest
 from hypothesis import given, settings
@@ -84,7 +86,7 @@
     assert newcomer.slot_counts == fold_of(whole).slot_counts
 
 
-def test_newcomer_that_missed_a_record_after_the_checkpoint_proves_nothing():
+def test_reader_that_missed_a_record_after_the_checkpoint_is_incomplete():
     early = Claim("x", A, SERVICE, 1, (0,), 0, 100)
     late = Claim("y", B, SERVICE, 1, (0,), 200, 300)
     checkpoint = fold_of([early]).checkpoint("k")
@@ -96,7 +98,7 @@
     assert newcomer.state(SLOT).covering(250) is None
 
 
-def test_records_lost_to_retention_end_the_proofs_until_a_checkpoint():
+def test_records_lost_to_retention_make_the_fold_incomplete_until_a_checkpoint():
     first = Claim("x", A, SERVICE, 1, (0,), 0, 100)
     second = Claim("y", B, SERVICE, 1, (0,), 200, 300)
     whole = [first, second]
@@ -117,7 +119,7 @@
     assert fold.state(SLOT).last.end_ms == 160
 
 
-def test_late_copy_of_a_handover_does_not_undo_the_way_back():
+def test_late_copy_of_a_handover_does_not_undo_the_handover_back():
     first = Claim("x", A, SERVICE, 1, (0,), 0, 100)
     to_b = Release("r", A, SERVICE, (HeldSlot(0, "x"),), 50, B, "table 1")
     to_a = Release("s", B, SERVICE, (HeldSlot(0, "r"),), 60, A, "table 2")
@@ -137,7 +139,7 @@
     ]
 
 
-def test_old_intervals_are_forgotten_as_unknown_not_as_gaps():
+def test_dropped_intervals_are_unknown_and_not_gaps():
     state = SlotState()
     for index in range(slots.MAX_INTERVALS + 1):
         start = index * 100
@@ -158,7 +160,7 @@
     assert fold.slot_counts == {SERVICE: 1} and set(fold.states) == {SLOT}
 
 
-def test_record_of_a_newer_format_ends_the_proofs():
+def test_record_of_a_newer_format_makes_the_fold_incomplete():
     fold = fold_of([Claim("x", A, SERVICE, 1, (0,), 0, 100)])
     fold.apply_entries(1, (LogEntry(1, b'{"format":99,"kind":"claim"}'),), 2)
     assert not fold.complete
@@ -189,7 +191,7 @@
     assert [item.tenure for item in fold_of(records).state(SLOT).intervals] == ["r"]
 
 
-def test_hole_inside_a_read_ends_the_proofs():
+def test_missing_record_inside_a_read_makes_the_fold_incomplete():
     whole = log_of([Claim("x", A, SERVICE, 1, (0,), 0, 100)] * 3)
     fold = OwnershipFold()
     fold.apply_entries(0, (whole[0], whole[2]), 3)
@@ -199,13 +201,13 @@
     assert not fold.complete
 
 
-def test_slot_count_outlives_lost_records():
+def test_slot_count_is_kept_when_records_are_lost():
     fold = fold_of([Claim("x", A, SERVICE, 1, (0,), 0, 100)])
     fold.apply_entries(5, (), 5)
     assert fold.slot_counts == {SERVICE: 1}
 
 
-def test_regressed_log_needs_a_checkpoint_of_what_is_read_from_then_on():
+def test_regressed_log_needs_a_checkpoint_of_the_records_read_since():
     first = Claim("x", A, SERVICE, 1, (0,), 0, 100)
     fold = fold_of([first])
     fold.invalidate()
--- a/tests/test_once_former_run.py
+++ b/tests/test_once_former_run.py
@@ -20,7 +20,7 @@
     return OnceService(settings, Environment(), None, asyncio.Queue(), "run-2")
 
 
-def test_request_for_a_former_run_is_disowned_at_once(once: OnceService) -> None:
+def test_request_for_a_former_process_is_answered_not_owner(once: OnceService) -> None:
     message = OwnerMessage("run-1", "peer-run", REQUEST, CALL)
     once._take(OwnerMessageReceived("i-2", message))
     reply = once.control.get_nowait()
--- a/tests/test_once_histories.py
+++ b/tests/test_once_histories.py
@@ -1,3 +1,5 @@
+"""Random faults never run a payment twice, and removed guards are detected."""
+
 from random import Random
 
 import attrs
@@ -16,7 +18,7 @@
 from bench.once_model import Model, Tally
 from bench.once_ways import memory_owner, owned_intervals
 
-ENOUGH_HISTORIES = 20
+HISTORY_COUNT = 20
 
 faults = st.builds(
     Fault,
@@ -52,7 +54,7 @@
 
 
 def is_violated(way, first_seed: int) -> bool:
-    seeds = range(first_seed, first_seed + ENOUGH_HISTORIES)
+    seeds = range(first_seed, first_seed + HISTORY_COUNT)
     tallies = (run(way, generate(seed)) for seed in seeds)
     return any(
         tally.runs_over_one or tally.payments_over_one or tally.untrue
@@ -73,13 +75,13 @@
     assert is_violated(memory_owner(), first_seed=0)
 
 
-def accept_past_the_end(monkeypatch):
+def accept_after_the_end(monkeypatch):
     monkeypatch.setattr(
         Tenure, "covers", lambda self, time_ms: self.start_ms <= time_ms
     )
 
 
-def claim_over_the_last_owner(monkeypatch):
+def claim_an_owned_interval(monkeypatch):
     claim = slots.claim
 
     def unguarded(state, record):
@@ -92,7 +94,7 @@
     monkeypatch.setattr(slots, "claim", unguarded)
 
 
-def trust_a_table_that_never_came(monkeypatch):
+def trust_a_missing_table(monkeypatch):
     load = OwnerRole._load_table
 
     def unguarded(self, slot_id, tenure):
@@ -102,7 +104,7 @@
     monkeypatch.setattr(OwnerRole, "_load_table", unguarded)
 
 
-def forget_that_keys_were_dropped(monkeypatch):
+def ignore_expired_keys(monkeypatch):
     drop = KeyTable.expire_before
 
     def unguarded(self, time_ms):
@@ -124,7 +126,7 @@
     monkeypatch.setattr(OwnerRole, "_refusal", unguarded)
 
 
-def deny_without_a_declared_attempt(monkeypatch):
+def answer_not_run_without_a_declared_attempt(monkeypatch):
     def unguarded(self, request, reason, now):
         return self._answer(request, Outcome.NOT_RUN, reason, now)
 
@@ -134,12 +136,12 @@
 @pytest.mark.parametrize(
     ("remove_guard", "first_seed"),
     [
-        (accept_past_the_end, 0),
-        (claim_over_the_last_owner, 300),
-        (trust_a_table_that_never_came, 0),
-        (forget_that_keys_were_dropped, 0),
+        (accept_after_the_end, 0),
+        (claim_an_owned_interval, 300),
+        (trust_a_missing_table, 0),
+        (ignore_expired_keys, 0),
         (accept_during_a_release, 240),
-        (deny_without_a_declared_attempt, 0),
+        (answer_not_run_without_a_declared_attempt, 0),
     ],
 )
 def test_histories_catch_a_removed_guard(monkeypatch, remove_guard, first_seed):
--- a/tests/test_once_ownership.py
+++ b/tests/test_once_ownership.py
@@ -12,7 +12,7 @@
 
 
 class OwnersOfOneSlot(RuleBasedStateMachine):
-    """Owners that know only the log and what predecessors sent them."""
+    """Owners of one slot that see only the log and their predecessors' tables."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_once_payments.py
+++ b/tests/test_once_payments.py
@@ -1,4 +1,4 @@
-"""Callers and sums of the measurement of payments."""
+"""Callers and statistics of the payments benchmark."""
 
 import random
 
@@ -53,7 +53,7 @@
     assert (paid.calls, paid.not_served) == (3, 1)
 
 
-def test_payments_after_a_kill_are_told_apart_by_time_and_owner():
+def test_payments_after_a_kill_are_grouped_by_time_and_owner():
     before = Payment(900, ["k"], Outcome.RAN, Outcome.RAN, 5)
     hit = Payment(1100, ["k"], Outcome.NOT_RUN, Outcome.RAN, 510)
     lost = Payment(2500, ["k"], Outcome.MAY_HAVE_RUN, Outcome.MAY_HAVE_RUN, 5000)
