--- a/azurestep/config/__init__.py
+++ b/azurestep/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its model, checks, changes and history."""
+"""Configuration: model, validation, changes and log records."""
--- a/azurestep/config/changes.py
+++ b/azurestep/config/changes.py
@@ -1,4 +1,4 @@
-"""How each kind of change turns one document into the next."""
+"""Application of changes to a document."""
 
 from functools import singledispatch
 
@@ -18,8 +18,8 @@
 
 @singledispatch
 def apply_change(change: Change, document: Document) -> Document:
-    """Return the document after a change; validity is checked elsewhere."""
-    raise TypeError(f"{type(change).__name__} is no change")
+    """Return the document after a change, without validating it."""
+    raise TypeError(f"{type(change).__name__} is not a change")
 
 
 @apply_change.register
--- a/azurestep/config/delta.py
+++ b/azurestep/config/delta.py
@@ -1,4 +1,4 @@
-"""Differences between two versions of a document."""
+"""Deltas between two versions of a document."""
 
 import attrs
 from returns.result import Failure, Result, Success
@@ -9,23 +9,22 @@
 
 @attrs.frozen
 class Delta:
-    """What turns a document with one hash into the document of a version.
+    """The difference between a base document and a version.
 
     Attributes
     ----------
     base_hash : bytes
-        Hash of the document that the delta applies to; empty for a whole
-        snapshot, which applies to any.
+        Hash of the base document; empty for a snapshot, which needs no base.
     version : int
-        Version that results.
+        Resulting version.
     hash : bytes
-        Hash of the document that results.
+        Hash of the resulting document.
     as_of : int
-        Offset up to which the sender had folded the log.
+        Offset of the last log record that the sender had applied.
     put : list of Entry
         Entries added or replaced.
     removed : list of Entry
-        Entries removed; their body is empty.
+        Entries removed, with an empty body.
     """
 
     base_hash: bytes
@@ -37,7 +36,7 @@
 
     @property
     def is_snapshot(self) -> bool:
-        """Whether the delta stands for the whole document."""
+        """Whether the delta holds the complete document."""
         return not self.base_hash
 
 
@@ -53,7 +52,7 @@
 
 
 def make_snapshot(document: Document, version: int, as_of: int) -> Delta:
-    """Return a delta that stands for the whole document."""
+    """Return a delta that holds the complete document."""
     put = [_entry(key, body) for key, body in document.entries.items()]
     return Delta(b"", version, document.hash, as_of, put, [])
 
@@ -65,14 +64,14 @@
 def apply_delta(base: Document, delta: Delta) -> Result[Document, str]:
     """Return the resulting document, or why the delta does not apply."""
     if not delta.is_snapshot and delta.base_hash != base.hash:
-        return Failure("the delta is for another base")
+        return Failure("the delta applies to another base document")
     start = Document() if delta.is_snapshot else base
     try:
         put = {entry.key: entry.body.encode() for entry in delta.put}
         removed = [EntryKey(Section(e.section), e.name) for e in delta.removed]
     except ValueError:
-        return Failure("the delta names an unknown section")
+        return Failure("the delta has an entry of an unknown section")
     document = start.with_changes(put, removed)
     if document.hash != delta.hash:
-        return Failure("the result has another hash")
+        return Failure("the hash of the resulting document differs")
     return Success(document)
--- a/azurestep/config/document.py
+++ b/azurestep/config/document.py
@@ -1,8 +1,7 @@
 """A configuration as a set of named entries with a hash.
 
-The document keeps each entry as canonical JSON, also the fields that this
-program does not know. So nodes of different software versions hold the same
-bytes and the same hash, and a delta is a set of entries.
+Entries are kept as canonical JSON, including fields unknown to this program, so
+that nodes of different software versions hold the same bytes and hash.
 """
 
 import hashlib
@@ -18,7 +17,7 @@
 
 
 class Section(IntEnum):
-    """Part of a document that an entry belongs to."""
+    """Section of a document."""
 
     FLEET = 0
     SERVICES = 1
@@ -36,14 +35,14 @@
 
 @attrs.frozen(order=True)
 class EntryKey:
-    """Place of an entry: its section and its name."""
+    """Section and name that identify an entry."""
 
     section: Section
     name: str
 
 
 def canonical_json(value: Any) -> bytes:
-    """Return JSON text that is equal for equal values."""
+    """Return the JSON text of a value with sorted keys."""
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
 
 
@@ -61,7 +60,7 @@
 
     @cached_property
     def hash(self) -> bytes:
-        """Hash over all entries, ``HASH_SIZE_BYTES`` long."""
+        """Hash of all entries, ``HASH_SIZE_BYTES`` long."""
         digest = hashlib.blake2b(digest_size=HASH_SIZE_BYTES)
         for key in sorted(self.entries):
             digest.update(f"{key.section.value}/{key.name}\0".encode())
@@ -71,13 +70,13 @@
 
     @property
     def size_bytes(self) -> int:
-        """Size of all entries together."""
+        """Total size of all entries."""
         return sum(len(body) for body in self.entries.values())
 
     def with_changes(
         self, put: Mapping[EntryKey, bytes], removed: Iterable[EntryKey]
     ) -> "Document":
-        """Return a document with entries replaced, added and removed."""
+        """Return a copy with entries added, replaced and removed."""
         entries = dict(self.entries)
         for key in removed:
             entries.pop(key, None)
@@ -86,10 +85,10 @@
 
 
 def document_from_dict(plain: Mapping[str, Any]) -> Document:
-    """Build a document from the JSON form of a configuration.
+    """Build a document from the parsed JSON of a configuration.
 
-    Entries that have no name get their index, so that validation can say where
-    the name is missing.
+    Entries without a name are named by their index, so that validation can
+    report their position.
     """
     entries: dict[EntryKey, bytes] = {}
     lists = {section.field: section for section in LISTS}
@@ -104,7 +103,7 @@
 
 
 def document_to_dict(document: Document) -> dict[str, Any]:
-    """Return the JSON form of a document, lists sorted by name."""
+    """Return the configuration of a document as a dict, lists sorted by name."""
     plain: dict[str, Any] = {section.field: [] for section in LISTS}
     for key in sorted(document.entries):
         value = orjson.loads(document.entries[key])
--- a/azurestep/config/fold.py
+++ b/azurestep/config/fold.py
@@ -1,8 +1,8 @@
-"""The fold: every reader of the log comes to the same configuration.
+"""Configuration computed from the log, the same for every reader.
 
 A publication is accepted if its ``base_version`` is the version in force and
-the result validates; its offset becomes the version. The rule needs nothing but
-the records, so it needs no lock, lease or leader.
+the resulting configuration is valid. Its offset becomes the version. The
+decision depends on the records alone, so no lock, lease or leader is needed.
 """
 
 import attrs
@@ -42,18 +42,18 @@
 
 @attrs.frozen
 class FoldState:
-    """What a node knows of the configuration.
+    """Configuration after a record of the log.
 
     Attributes
     ----------
     as_of : int
-        Offset of the last record folded.
+        Offset of the last record applied.
     version : int
         Offset of the publication in force; 0 before the first.
     document : Document
         The configuration in force.
     configuration : Configuration or None
-        Its structured form; None before the first version.
+        Structured form of the document; None before the first version.
     """
 
     as_of: int = 0
@@ -63,11 +63,11 @@
 
 
 class ConfigurationFold:
-    """Folds records of the configuration stream in the order of the log.
+    """Applies records of the configuration stream in the order of the log.
 
-    A reader that starts in mid-stream, or that lost records to retention, is
-    *seeking*: it buffers the records it reads until a checkpoint whose
-    ``as_of`` reaches back to them, adopts it and replays what followed.
+    A fold that starts mid-stream, or that missed records dropped by retention,
+    is *seeking*: it buffers records until it reads a checkpoint whose ``as_of``
+    leaves no gap before them, adopts it and replays the records after it.
     """
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
 
     @property
     def next_offset(self) -> int:
-        """Offset to read from next."""
+        """Offset of the next record to read."""
         if self._seeking_from is None:
             return self.state.as_of + 1
         if self._buffer:
@@ -89,16 +89,16 @@
 
     @property
     def is_halted(self) -> bool:
-        """Whether the next record asks for a newer program."""
+        """Whether the next record requires a newer program."""
         return self._halted_at == self.next_offset
 
     @property
     def is_seeking(self) -> bool:
-        """Whether a checkpoint or a peer's snapshot is needed to go on."""
+        """Whether a checkpoint or a peer's snapshot is needed to continue."""
         return self._seeking_from is not None
 
     def apply_page(self, page: Page) -> list[FoldEvent]:
-        """Take one answer of the log to a read from ``self.next_offset``."""
+        """Apply the log's answer to a read from ``self.next_offset``."""
         if page.next_offset < page.from_offset:
             return self._record_regression(page.next_offset)
         self._regressed_at = None
@@ -113,7 +113,7 @@
         return events
 
     def _record_regression(self, next_offset: int) -> list[FoldEvent]:
-        # What follows the restored end may differ from what was buffered.
+        # Records after the restored end may differ from the buffered ones.
         self._buffer = []
         if self._regressed_at == next_offset:
             return []
@@ -126,13 +126,13 @@
         return GapFound(offset, self.state.as_of)
 
     def adopt(self, delta: Delta) -> Result[list[FoldEvent], str]:
-        """Take over a newer version from a peer.
+        """Apply a delta from a peer if its version is newer.
 
         Returns
         -------
         Result
-            ``Adopted`` and the events of records that had waited for it, or why
-            nothing was changed; a version that is not newer is never taken.
+            ``Adopted`` and the events of the buffered records, or the reason why
+            nothing changed.
         """
         if delta.version <= self.state.version:
             return Failure("the version is not newer")
@@ -142,7 +142,7 @@
         document = applied.unwrap()
         validated = validate(document)
         if isinstance(validated, Failure):
-            return Failure("the version does not validate here")
+            return Failure("the version is not valid for this program")
         as_of = max(delta.as_of, delta.version, self.state.as_of)
         self.state = FoldState(as_of, delta.version, document, validated.unwrap())
         if self._halted_at is not None and self._halted_at <= as_of:
@@ -232,7 +232,7 @@
         if folded is None:
             return [read]
         if checkpoint.version > self.state.version:
-            # The log was restored: it lost publications that are in force.
+            # The log was restored and lost publications that are in force.
             return [read, self._start_seeking(checkpoint.as_of + 1)]
         if self._contradicts(folded):
             return [read, Mismatched(record.offset)]
--- a/azurestep/config/fold_events.py
+++ b/azurestep/config/fold_events.py
@@ -1,4 +1,4 @@
-"""What the fold decided on a record, or found out about the log."""
+"""Events of a configuration fold."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Accepted:
-    """A publication is the new version; ``version`` is its offset."""
+    """A publication became the version in force; ``version`` is its offset."""
 
     version: int
     id: str
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Refused:
-    """A publication changed nothing, and why."""
+    """A publication was refused."""
 
     offset: int
     id: str
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Adopted:
-    """A version was taken over whole, from a checkpoint or from a peer."""
+    """A version was adopted from a checkpoint or a peer."""
 
     version: int
 
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Mismatched:
-    """A checkpoint contradicts the folded configuration."""
+    """A checkpoint of the version in force has a different hash."""
 
     offset: int
 
@@ -56,7 +56,7 @@
     Attributes
     ----------
     next_offset : int
-        Where the log ends now.
+        Offset after the last record of the log now.
     as_of : int
         Offset of the last record that was read.
     """
@@ -75,7 +75,7 @@
 
 @attrs.frozen
 class Unsupported:
-    """A record asks for a newer program; the fold halts before it."""
+    """A record requires a newer program; the fold stops before it."""
 
     offset: int
     format: int
--- a/azurestep/config/model.py
+++ b/azurestep/config/model.py
@@ -8,7 +8,7 @@
 
 
 class Priority(StrEnum):
-    """Class of a request; it decides who waits and who is refused first."""
+    """Class of a request, which determines who waits and who is refused first."""
 
     INTERACTIVE = "interactive"
     PAYMENT = "payment"
@@ -17,14 +17,14 @@
 
 @attrs.frozen
 class RetryRule:
-    """How failed attempts are repeated.
+    """Retries of failed attempts.
 
     Attributes
     ----------
     max_attempts : int
-        Attempts for one request at this hop, the first included.
+        Attempts of one request at this hop, including the first.
     budget_ratio : float
-        Retries allowed per request, over all requests to the service.
+        Maximum ratio of retries to requests of the service.
     """
 
     max_attempts: int = 2
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class LimitRule:
-    """How much work a service takes.
+    """Concurrency and queue limits of a service.
 
     Attributes
     ----------
@@ -42,7 +42,7 @@
     queue_length : int
         Requests of a class that may wait at one node.
     queue_timeout_ms : int
-        Longest wait of a request in a queue.
+        Maximum wait of a request in a queue.
     adaptive : bool
         Whether the limit follows the observed latency below ``slots``.
     """
@@ -55,17 +55,17 @@
 
 @attrs.frozen
 class SelectionRule:
-    """How a backend server is chosen.
+    """Selection of a backend server.
 
     Attributes
     ----------
     spill_over_ratio : float
-        Share of the local slots in use from which requests may go to another
-        data centre.
+        Ratio of local slots in use from which requests may go to a remote data
+        centre.
     ramp_up_ms : int
-        Time over which a new backend server gets its full share.
+        Time over which a new backend server reaches its full share of requests.
     ejection_ratio : float
-        Largest share of a service's backend servers that may be ejected.
+        Maximum ratio of a service's backend servers that may be ejected.
     ejection_ms : int
         Duration of a first ejection.
     """
@@ -78,7 +78,7 @@
 
 @attrs.frozen
 class Service:
-    """A named group of backend servers that do the same work."""
+    """A named group of interchangeable backend servers."""
 
     name: str
     timeout_ms: int = 2000
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class HeaderMatch:
-    """A header that a request must carry; an empty value means any value."""
+    """A header that a request must have; an empty value matches any value."""
 
     name: str
     value: str = ""
@@ -98,18 +98,18 @@
 
 @attrs.frozen
 class Route:
-    """Which requests go to which service, and how they are treated.
+    """Requests that go to a service, and how they are handled.
 
     Attributes
     ----------
     name : str
         Unique name.
     service : str
-        Name of the service that takes the request.
+        Name of the service that handles the requests.
     host : str
         Host header to match; ``*`` matches any.
     path_prefix : str
-        Prefix of the path, matched at segment ends; the longest wins.
+        Prefix of the path, matched in whole segments; the longest match wins.
     methods : list of str
         Methods to match; an empty list matches any.
     headers : list of HeaderMatch
@@ -120,9 +120,9 @@
     priority : Priority
         Class of the requests.
     timeout_ms : int or None
-        Deadline of a request; None takes the service's.
+        Timeout of a request; None uses the service's.
     enabled : bool
-        Whether the route is in use; presets switch it.
+        Whether the route is in use; presets can change it.
     """
 
     name: str
@@ -139,7 +139,7 @@
 
 @attrs.frozen
 class ClassShares:
-    """Share of a service's slots that each class may hold, 0 to 1."""
+    """Ratio of a service's slots that each class may use, 0 to 1."""
 
     interactive: float = 1.0
     payment: float = 1.0
@@ -181,7 +181,7 @@
 
 @attrs.frozen
 class Configuration:
-    """A whole configuration as operators write it."""
+    """A complete configuration as operators write it."""
 
     format: int
     active_preset: str
--- a/azurestep/config/presets.py
+++ b/azurestep/config/presets.py
@@ -1,4 +1,4 @@
-"""Presets: the configuration with the overlay of the one in force."""
+"""Application of presets to a configuration."""
 
 from typing import TypeVar
 
@@ -19,7 +19,7 @@
 
 
 def apply_active_preset(configuration: Configuration) -> Configuration:
-    """Return the configuration with the active preset laid over it.
+    """Return the configuration with the patches of the active preset applied.
 
     Examples
     --------
--- a/azurestep/config/records.py
+++ b/azurestep/config/records.py
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Entry:
-    """One entry of a document on the wire: section, name, canonical JSON."""
+    """One entry of a document in records and messages; the body is JSON text."""
 
     section: int
     name: str
@@ -25,20 +25,20 @@
 
     @property
     def key(self) -> EntryKey:
-        """Place of the entry."""
+        """Section and name of the entry."""
         return EntryKey(Section(self.section), self.name)
 
 
 @attrs.frozen
 class ReplaceDocument:
-    """Change: the whole configuration is replaced."""
+    """Change that replaces the complete configuration."""
 
     entries: list[Entry]
 
 
 @attrs.frozen
 class EditEntries:
-    """Change: entries are put and removed; removals name section and name."""
+    """Change that puts and removes entries; bodies of removed ones are ignored."""
 
     put: list[Entry] = attrs.field(factory=list)
     removed: list[Entry] = attrs.field(factory=list)
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class SwitchPreset:
-    """Change: another preset is put in force."""
+    """Change that activates another preset."""
 
     preset: str
 
@@ -56,21 +56,20 @@
 
 @attrs.frozen
 class Publication:
-    """An operator's proposal of a change.
+    """A change proposed by an operator.
 
     Attributes
     ----------
     id : str
-        Unique name, chosen by the operator's command; a repeated append keeps
-        it.
+        Unique id from the operator's command; a retried append has the same id.
     base_version : int
-        Version that the change was made against; 0 is the empty one.
+        Version that the change is based on; 0 is the empty configuration.
     operator : str
-        Who published it.
+        Name of the operator.
     change : Change
-        What is to change.
+        The proposed change.
     format : int
-        Format that a program must know to fold the record.
+        Record format that a reader must support.
     """
 
     id: str
@@ -82,20 +81,20 @@
 
 @attrs.frozen
 class Checkpoint:
-    """The whole configuration as folded up to an offset.
+    """The complete configuration at an offset of the log.
 
     Attributes
     ----------
     id : str
-        Unique name of this record.
+        Unique id of this record.
     as_of : int
-        Offset of the last record that was folded into it.
+        Offset of the last record applied.
     version : int
         Version in force at ``as_of``.
     entries : list of Entry
-        The whole configuration.
+        The complete configuration.
     instance : str
-        Who wrote it.
+        Instance that wrote the checkpoint.
     """
 
     id: str
@@ -108,10 +107,10 @@
 
 @attrs.frozen
 class Filler:
-    """A record that changes nothing.
+    """A record without effect.
 
-    After the platform was restored from a backup, fillers bring the log back to
-    the offset that the fleet had read already.
+    After the platform was restored from a backup, fillers extend the log to the
+    offset that the fleet had already read.
     """
 
     id: str
@@ -127,7 +126,7 @@
 
 
 def entries_of(document: Document) -> list[Entry]:
-    """Return the entries of a document, sorted by place."""
+    """Return the entries of a document, sorted by section and name."""
     return [
         Entry(key.section.value, key.name, document.entries[key].decode())
         for key in sorted(document.entries)
@@ -135,22 +134,22 @@
 
 
 def document_from_entries(entries: list[Entry]) -> Document:
-    """Build a document from entries on the wire."""
+    """Build a document from entries of a record or message."""
     return Document({entry.key: entry.body.encode() for entry in entries})
 
 
 def encode_record(record: Record) -> bytes:
-    """Return the JSON text of a record."""
+    """Encode a record as JSON text."""
     return orjson.dumps(CONVERTER.unstructure(record, unstructure_as=Record))
 
 
 def decode_record(value: Any) -> Record:
-    """Build a record from the JSON value that the log returned.
+    """Decode a record from the JSON value that the log returned.
 
     Raises
     ------
     MessageMalformedError
-        If the value is no record of this stream.
+        If the value is not a record of this stream.
     """
     try:
         record: Record = CONVERTER.structure(value, Record)  # type: ignore[arg-type]
@@ -163,7 +162,7 @@
 
 
 def format_of(value: Any) -> int:
-    """Return the format that a raw record asks for; 0 when it names none."""
+    """Return the format of an undecoded record; 0 if it has none."""
     if not isinstance(value, dict):
         return 0
     named = value.get("format", 0)
--- a/azurestep/config/rules.py
+++ b/azurestep/config/rules.py
@@ -1,4 +1,4 @@
-"""Rules of a configuration that types alone don't show: names, ranges, references."""
+"""Checks of names, ranges and references in a configuration."""
 
 import re
 from collections import Counter
@@ -23,7 +23,7 @@
 
 
 def check_configuration(configuration: Configuration) -> Iterator[Fault]:
-    """Yield every fault that the types alone don't show."""
+    """Yield the faults in names, ranges and references of a configuration."""
     if configuration.format > FORMAT:
         yield Fault(
             "$.format",
@@ -44,7 +44,7 @@
     if configuration.active_preset not in {p.name for p in configuration.presets}:
         yield Fault(
             "$.active_preset",
-            f"{configuration.active_preset!r} is no preset",
+            f"{configuration.active_preset!r} is not a defined preset",
             "name one of the presets",
         )
 
@@ -58,11 +58,11 @@
         if not NAME_PATTERN.fullmatch(item.name):
             yield Fault(
                 path,
-                f"{item.name!r} is no name",
+                f"{item.name!r} is not a valid name",
                 "use up to 64 of a-z, 0-9, '.', '_' and '-'",
             )
         if counts[item.name] > 1:
-            yield Fault(path, f"{item.name!r} stands twice", "rename one of them")
+            yield Fault(path, f"{item.name!r} is not unique", "rename one of them")
 
 
 def _check_range(path: str, value: float, low: float, high: float) -> Iterator[Fault]:
@@ -116,7 +116,7 @@
     if route.service not in services:
         yield Fault(
             f"{path}.service",
-            f"{route.service!r} is no service",
+            f"{route.service!r} is not a defined service",
             "name one of the services or add it",
         )
     if not route.path_prefix.startswith("/"):
@@ -129,7 +129,7 @@
         if not (method.isascii() and method.isalpha() and method.isupper()):
             yield Fault(
                 f"{path}.methods[{index}]",
-                f"{method!r} is no method",
+                f"{method!r} is not a valid method",
                 "use upper case, for example GET",
             )
     if route.timeout_ms is not None:
@@ -149,7 +149,7 @@
         if patch.service not in services:
             yield Fault(
                 f"{patch_path}.service",
-                f"{patch.service!r} is no service",
+                f"{patch.service!r} is not a defined service",
                 "name one of the services",
             )
         if patch.timeout_ms is not None:
@@ -162,12 +162,12 @@
         if route_patch.route not in routes:
             yield Fault(
                 f"{patch_path}.route",
-                f"{route_patch.route!r} is no route",
+                f"{route_patch.route!r} is not a defined route",
                 "name one of the routes",
             )
         if route_patch.service is not None and route_patch.service not in services:
             yield Fault(
                 f"{patch_path}.service",
-                f"{route_patch.service!r} is no service",
+                f"{route_patch.service!r} is not a defined service",
                 "name one of the services",
             )
--- a/azurestep/config/validate.py
+++ b/azurestep/config/validate.py
@@ -1,8 +1,8 @@
-"""Checks of a configuration: every fault is found, not the first alone.
+"""Validation of a configuration, which reports every fault.
 
-Two strictnesses exist. An operator's file is refused for a field that the
-program does not know, since that is nearly always a typing error. A record on
-the log may come from a newer program, so unknown fields are kept there.
+Unknown fields are faults in an operator's file, where they are usually typing
+errors. In records of the log they are kept, because a newer program may have
+written them.
 """
 
 from collections.abc import Iterator
@@ -36,12 +36,12 @@
 
 
 def read_document(raw: bytes) -> Result[Document, Faults]:
-    """Check an operator's JSON text and return its document.
+    """Validate an operator's JSON text and return its document.
 
     Returns
     -------
     Result
-        The document, or every fault with its JSON path and remedy.
+        The document, or all faults with JSON path and remedy.
     """
     parsed = parse_json(raw)
     if isinstance(parsed, Failure):
@@ -59,7 +59,7 @@
 
 
 def parse_json(raw: bytes) -> Result[dict[str, Any], Faults]:
-    """Parse bounded JSON text whose root is an object."""
+    """Parse JSON text of limited size and depth whose root is an object."""
     if len(raw) > MAX_DOCUMENT_BYTES:
         return _failure(
             "$",
@@ -98,7 +98,7 @@
 
 
 def validate(document: Document) -> Result[Configuration, Faults]:
-    """Structure a document that came from the log and check it whole."""
+    """Structure a document from the log and check it."""
     if len(document.entries) > MAX_ENTRIES:
         return _failure(
             "$", f"has more than {MAX_ENTRIES} entries", "remove unused entries"
@@ -114,7 +114,7 @@
 
 
 def _check_entries(document: Document) -> Iterator[Fault]:
-    """Yield the entries that can't be the part of a configuration they claim."""
+    """Yield the faults of entries that don't match their section and name."""
     for key, body in document.entries.items():
         path = _path_of(key)
         try:
@@ -123,25 +123,25 @@
             yield Fault(path, f"is not JSON: {error}", "publish the entry again")
             continue
         if not isinstance(plain, dict):
-            yield Fault(path, f"{show(plain)} is no object", "write it as {...}")
+            yield Fault(path, f"{show(plain)} is not an object", "write it as {...}")
         elif key.section is Section.FLEET:
             yield from _check_fleet(key, plain)
         elif plain.get("name") != key.name:
             yield Fault(
                 path,
                 f"holds the name {show(plain.get('name'))}",
-                "give the entry and its place the same name",
+                "give the entry and its key the same name",
             )
 
 
 def _check_fleet(key: EntryKey, plain: dict[str, Any]) -> Iterator[Fault]:
     if key.name:
-        yield Fault(_path_of(key), "stands beside the fleet's entry", "remove it")
+        yield Fault(_path_of(key), "is an extra entry of the fleet", "remove it")
     for section in LISTS:
         if section.field in plain:
             yield Fault(
                 f"$.{section.field}",
-                "stands in the fleet's entry",
+                "is part of the fleet's entry",
                 "write each item as an entry of its own",
             )
 
--- a/tests/fixtures_fold.py
+++ b/tests/fixtures_fold.py
@@ -48,7 +48,7 @@
 
 
 class FakeLog:
-    """The records of one stream, with the reads and the losses of the platform."""
+    """In-memory log of one stream with reads, retention and restores."""
 
     def __init__(self):
         self.records = []
@@ -91,7 +91,7 @@
             events.extend(fold.apply_page(page))
             if not page.records or fold.is_halted:
                 return events
-        raise AssertionError("the fold reads the same records for ever")
+        raise AssertionError("the fold keeps reading the same records")
 
 
 @pytest.fixture
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -1,3 +1,5 @@
+"""Publications, checkpoints, restores and lost records in a configuration fold."""
+
 import attrs
 
 from azurestep.config.delta import make_snapshot
@@ -21,7 +23,7 @@
 
 
 def published(fake_log, *timeouts_ms):
-    """A log with a first version and one more per timeout, and its fold."""
+    """Publish a first version and one per timeout; return the fold of the log."""
     fold = ConfigurationFold()
     fake_log.publish("first", 0, initial_change())
     fake_log.feed(fold)
@@ -58,7 +60,7 @@
     assert kinds(fake_log.feed(fold)) == [Accepted]
 
 
-def test_checkpoint_that_raced_a_publication_loses_nothing_for_newcomers(fake_log):
+def test_checkpoint_that_raced_a_publication_loses_nothing_for_new_readers(fake_log):
     old = published(fake_log, 1100)
     stale = old.state
     fake_log.publish("raced", stale.version, timeout_change(1200))
@@ -81,7 +83,7 @@
     assert from_checkpoint.state.document == old.state.document
 
 
-def test_snapshot_from_a_peer_ends_seeking_and_replays_what_waited(fake_log):
+def test_snapshot_from_a_peer_ends_seeking_and_replays_buffered_records(fake_log):
     old = published(fake_log, 1100)
     snapshot = snapshot_of(old)
     fake_log.drop_before(old.next_offset)
@@ -111,7 +113,7 @@
     assert fold.state == before
 
 
-def test_restored_log_is_refused_once_and_the_version_stays(fake_log):
+def test_restored_log_is_reported_once_and_keeps_the_version(fake_log):
     fold = published(fake_log, 1100, 1200)
     before = fold.state
     fake_log.restore(2)
@@ -122,7 +124,7 @@
     assert fold.state == before
 
 
-def test_answer_that_a_peer_overtook_is_no_regression(fake_log):
+def test_read_that_ends_before_a_version_from_a_peer_is_no_regression(fake_log):
     slow = published(fake_log)
     fast = ConfigurationFold()
     overtaken = fake_log.page(slow.next_offset)
@@ -134,7 +136,7 @@
     assert slow.apply_page(overtaken) == []
 
 
-def test_checkpoint_after_a_restore_gives_newcomers_what_is_in_force(fake_log):
+def test_checkpoint_after_a_restore_gives_new_readers_the_version_in_force(fake_log):
     fleet = published(fake_log, 1100, 1200)
     fake_log.restore(2)
     newcomer = ConfigurationFold()
@@ -151,7 +153,7 @@
     assert timeout_in(newcomer.state.document) == 1300
 
 
-def test_newer_format_halts_until_a_peer_brings_a_version_past_it(fake_log):
+def test_newer_format_halts_the_fold_until_a_peer_sends_a_later_version(fake_log):
     fold = published(fake_log)
     peer = published(type(fake_log)(), 1100, 1200, 1300)
     fake_log.append({"kind": "Unheard", "id": "u", "format": RECORD_FORMAT + 1})
@@ -167,7 +169,7 @@
     assert fold.next_offset > peer.state.version
 
 
-def test_checkpoint_with_an_unknown_section_is_passed_over(fake_log):
+def test_checkpoint_with_an_unknown_section_is_ignored(fake_log):
     fold = published(fake_log)
     before = fold.state
     fake_log.append(
@@ -188,7 +190,7 @@
     assert fold.next_offset == fake_log.next_offset
 
 
-def test_page_with_lost_records_is_not_folded_past_the_hole(fake_log):
+def test_page_is_not_applied_past_a_missing_record(fake_log):
     fold = published(fake_log)
     fake_log.publish("a", 1, timeout_change(1100))
     fake_log.publish("b", 2, timeout_change(1200))
--- a/tests/test_fold_races.py
+++ b/tests/test_fold_races.py
@@ -1,3 +1,5 @@
+"""Racing publications never lose a confirmed update."""
+
 from bench.races import BaseVersions, LastWriteWins, Race, run
 
 
--- a/tests/test_fold_racing_operators.py
+++ b/tests/test_fold_racing_operators.py
@@ -1,4 +1,4 @@
-"""Operators that race each other while the log stops and loses answers."""
+"""Concurrent publications while the log has outages and loses answers."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class FakeNode:
-    """Tells what a fold holds, as a node's operator endpoint does."""
+    """Returns the configuration of a fold, like a node's operator endpoint."""
 
     def __init__(self, fold):
         self.fold = fold
@@ -72,7 +72,7 @@
         log.set_faults(LOSSES)
 
 
-async def test_racing_operators_learn_the_outcome_of_every_publication(http):
+async def test_racing_operators_get_the_outcome_of_every_publication(http):
     log = LogStandIn(LogSettings(appends_per_second=1000, seed=11))
     await log.start()
     environment = Environment(random=random.Random(3))
@@ -110,21 +110,21 @@
     stats = log.stats().total
     await log.close()
 
-    told = {v.id: type(v.event) for each in verdicts for v in each}
-    assert len(told) == OPERATORS * PUBLICATIONS
+    reported = {v.id: type(v.event) for each in verdicts for v in each}
+    assert len(reported) == OPERATORS * PUBLICATIONS
     assert stats.answers_lost > 0
     assert stats.unavailable > 0
-    assert {Accepted, Refused} == set(told.values())
+    assert {Accepted, Refused} == set(reported.values())
     for fold, outcomes, seen in zip(folds, decided, versions, strict=True):
         assert fold.state.version == folds[0].state.version
         assert fold.state.document.hash == folds[0].state.document.hash
-        assert {id: outcomes[id] for id in told} == told
+        assert {id: outcomes[id] for id in reported} == reported
         assert seen == sorted(seen)
 
 
 @pytest.fixture
 async def restored(http, log):
-    """A log that was restored before what the node had read."""
+    """A publisher, node and client of a log restored to an older state."""
     environment = Environment(random=random.Random(3))
     client = LogClient(http, log.url, environment)
     node = FakeNode(ConfigurationFold())
@@ -154,7 +154,7 @@
     assert log.stream(STREAM).next_offset == 2
 
 
-async def test_continued_log_takes_publications_and_newcomers(restored):
+async def test_continued_log_accepts_publications_and_new_readers(restored):
     publisher, node, client, environment = restored
     before = node.fold.state.version
     held = await node.configuration()
--- a/tests/test_validate.py
+++ b/tests/test_validate.py
@@ -1,3 +1,5 @@
+"""Invalid configurations yield faults instead of exceptions."""
+
 from typing import Any
 
 import orjson
@@ -27,6 +29,7 @@
 
 
 def assert_told(result: Any) -> None:
+    """Assert that each fault of a failure has a path, a problem and a remedy."""
     if isinstance(result, Success):
         return
     assert result.failure()
@@ -78,13 +81,13 @@
 
 
 @pytest.mark.parametrize("cut", range(0, 1000, 37))
-def test_truncated_configuration_is_told(cut: int) -> None:
+def test_truncated_configuration_is_refused(cut: int) -> None:
     result = read_document(EXAMPLE.read_bytes()[:cut])
     assert isinstance(result, Failure)
     assert_told(result)
 
 
-def test_entry_must_hold_its_own_name() -> None:
+def test_entry_with_another_name_than_its_key_is_refused() -> None:
     document = document_from_dict(orjson.loads(EXAMPLE.read_bytes()))
     body = document.entries[EntryKey(Section.SERVICES, "catalogue")]
     hidden = document.with_changes({EntryKey(Section.SERVICES, "other"): body}, [])
