--- a/azurestep/once/checkpoints.py
+++ b/azurestep/once/checkpoints.py
@@ -16,7 +16,7 @@
     """Decides when this node appends a checkpoint.
 
     Every node computes the same ranking of the owners, which changes with each
-    checkpoint. Lower ranks wait longer, so usually only the first one appends.
+    checkpoint. Lower-ranked nodes wait longer, so usually only the first appends.
     """
 
     node: NodeId
