--- a/azurestep/config/fold.py
+++ b/azurestep/config/fold.py
@@ -1,8 +1,8 @@
-"""The fold: every reader of the log comes to the same configuration.
+"""Configuration computed from the log, the same for every reader.
 
 A publication is accepted if its ``base_version`` is the version in force and
-the result validates; its offset becomes the version. The rule needs nothing but
-the records, so it needs no lock, lease or leader.
+the resulting configuration is valid. Its offset becomes the version. The
+decision depends on the records alone, so no lock, lease or leader is needed.
 """
 
 import attrs
@@ -36,24 +36,24 @@
 )
 from .validate import validate
 
-BUFFER_MAXIMUM_RECORDS = 10_000
-ACCEPTED_MAXIMUM = 1024
+MAX_BUFFERED_RECORDS = 10_000
+MAX_REMEMBERED_IDS = 1024
 
 
 @attrs.frozen
 class FoldState:
-    """What a node knows of the configuration.
+    """Configuration after a record of the log.
 
     Attributes
     ----------
     as_of : int
-        Offset of the last record folded.
+        Offset of the last record applied.
     version : int
         Offset of the publication in force; 0 before the first.
     document : Document
         The configuration in force.
     configuration : Configuration or None
-        Its structured form; None before the first version.
+        Structured form of the document; None before the first version.
     """
 
     as_of: int = 0
@@ -63,11 +63,11 @@
 
 
 class ConfigurationFold:
-    """Folds records of the configuration stream in the order of the log.
+    """Applies records of the configuration stream in the order of the log.
 
-    A reader that starts in mid-stream, or that lost records to retention, is
-    *seeking*: it buffers the records it reads until a checkpoint whose
-    ``as_of`` reaches back to them, adopts it and replays what followed.
+    A fold that starts mid-stream, or that missed records dropped by retention,
+    is *seeking*: it buffers records until it reads a checkpoint whose ``as_of``
+    leaves no gap before them, adopts it and replays the records after it.
     """
 
     def __init__(self) -> None:
@@ -76,11 +76,11 @@
         self._buffer: list[LogRecord] = []
         self._halted_at: int | None = None
         self._regressed_at: int | None = None
-        self._accepted: dict[str, None] = {}
+        self._accepted_ids: dict[str, None] = {}
 
     @property
     def next_offset(self) -> int:
-        """Offset to read from next."""
+        """Offset of the next record to read."""
         if self._seeking_from is None:
             return self.state.as_of + 1
         if self._buffer:
@@ -89,50 +89,50 @@
 
     @property
     def is_halted(self) -> bool:
-        """Whether the next record asks for a newer program."""
+        """Whether the next record requires a newer program."""
         return self._halted_at == self.next_offset
 
     @property
     def is_seeking(self) -> bool:
-        """Whether a checkpoint or a peer's snapshot is needed to go on."""
+        """Whether a checkpoint or a peer's snapshot is needed to continue."""
         return self._seeking_from is not None
 
     def apply_page(self, page: Page) -> list[FoldEvent]:
-        """Take one answer of the log to a read from ``self.next_offset``."""
+        """Apply the log's answer to a read from ``self.next_offset``."""
         if page.next_offset < page.from_offset:
-            return self._note_regression(page.next_offset)
+            return self._record_regression(page.next_offset)
         self._regressed_at = None
         events: list[FoldEvent] = []
         if page.first_offset > self.next_offset:
-            events.append(self._seek_from(page.first_offset))
+            events.append(self._start_seeking(page.first_offset))
         for record in page.records:
             if self.is_halted:
                 break
             if record.offset == self.next_offset:
-                events.extend(self._take_record(record))
+                events.extend(self._apply_record(record))
         return events
 
-    def _note_regression(self, next_offset: int) -> list[FoldEvent]:
-        # What follows the restored end may differ from what was buffered.
+    def _record_regression(self, next_offset: int) -> list[FoldEvent]:
+        # Records after the restored end may differ from the buffered ones.
         self._buffer = []
         if self._regressed_at == next_offset:
             return []
         self._regressed_at = next_offset
         return [Regressed(next_offset, self.state.as_of)]
 
-    def _seek_from(self, offset: int) -> GapFound:
+    def _start_seeking(self, offset: int) -> GapFound:
         self._seeking_from = offset
         self._buffer = []
         return GapFound(offset, self.state.as_of)
 
     def adopt(self, delta: Delta) -> Result[list[FoldEvent], str]:
-        """Take over a newer version from a peer.
+        """Apply a delta from a peer if its version is newer.
 
         Returns
         -------
         Result
-            ``Adopted`` and the events of records that had waited for it, or why
-            nothing was changed; a version that is not newer is never taken.
+            ``Adopted`` and the events of the buffered records, or the reason why
+            nothing changed.
         """
         if delta.version <= self.state.version:
             return Failure("the version is not newer")
@@ -142,14 +142,14 @@
         document = applied.unwrap()
         validated = validate(document)
         if isinstance(validated, Failure):
-            return Failure("the version does not validate here")
+            return Failure("the version is not valid for this program")
         as_of = max(delta.as_of, delta.version, self.state.as_of)
         self.state = FoldState(as_of, delta.version, document, validated.unwrap())
         if self._halted_at is not None and self._halted_at <= as_of:
             self._halted_at = None
-        return Success([Adopted(delta.version), *self._leave_seeking()])
+        return Success([Adopted(delta.version), *self._stop_seeking()])
 
-    def _leave_seeking(self) -> list[FoldEvent]:
+    def _stop_seeking(self) -> list[FoldEvent]:
         if self._seeking_from is None or self._seeking_from > self.state.as_of + 1:
             return []
         return self._replay(self._buffer)
@@ -160,15 +160,15 @@
         events: list[FoldEvent] = []
         for record in records:
             if record.offset == self.next_offset:
-                events.extend(self._take_record(record))
+                events.extend(self._apply_record(record))
         return events
 
-    def _take_record(self, record: LogRecord) -> list[FoldEvent]:
+    def _apply_record(self, record: LogRecord) -> list[FoldEvent]:
         if format_of(record.value) > RECORD_FORMAT:
             self._halted_at = record.offset
             return [Unsupported(record.offset, format_of(record.value))]
         if self._seeking_from is not None:
-            return self._seek(record)
+            return self._buffer_record(record)
         return self._fold(record)
 
     def _fold(self, record: LogRecord) -> list[FoldEvent]:
@@ -180,15 +180,15 @@
         if isinstance(decoded, Filler):
             return []
         if isinstance(decoded, Checkpoint):
-            return self._compare(record, decoded)
-        if decoded.id in self._accepted:
+            return self._compare_checkpoint(record, decoded)
+        if decoded.id in self._accepted_ids:
             return []
         return [self._decide(record, decoded)]
 
-    def _note_accepted(self, id: str) -> None:
-        self._accepted[id] = None
-        if len(self._accepted) > ACCEPTED_MAXIMUM:
-            del self._accepted[next(iter(self._accepted))]
+    def _record_accepted_id(self, id: str) -> None:
+        self._accepted_ids[id] = None
+        if len(self._accepted_ids) > MAX_REMEMBERED_IDS:
+            del self._accepted_ids[next(iter(self._accepted_ids))]
 
     def _decide(self, record: LogRecord, publication: Publication) -> FoldEvent:
         current = self.state.version
@@ -214,7 +214,7 @@
                 result.failure(),
             )
         configuration = result.unwrap()
-        self._note_accepted(publication.id)
+        self._record_accepted_id(publication.id)
         self.state = FoldState(record.offset, record.offset, document, configuration)
         return Accepted(
             record.offset,
@@ -224,14 +224,16 @@
             configuration.active_preset,
         )
 
-    def _compare(self, record: LogRecord, checkpoint: Checkpoint) -> list[FoldEvent]:
+    def _compare_checkpoint(
+        self, record: LogRecord, checkpoint: Checkpoint
+    ) -> list[FoldEvent]:
         read = CheckpointRead(record.offset, checkpoint.as_of)
         folded = _state_of(checkpoint, record.offset)
         if folded is None:
             return [read]
         if checkpoint.version > self.state.version:
-            # The log was restored: it lost publications that are in force.
-            return [read, self._seek_from(checkpoint.as_of + 1)]
+            # The log was restored and lost publications that are in force.
+            return [read, self._start_seeking(checkpoint.as_of + 1)]
         if self._contradicts(folded):
             return [read, Mismatched(record.offset)]
         return [read]
@@ -241,9 +243,9 @@
             return False
         return folded.document.hash != self.state.document.hash
 
-    def _seek(self, record: LogRecord) -> list[FoldEvent]:
+    def _buffer_record(self, record: LogRecord) -> list[FoldEvent]:
         self._buffer.append(record)
-        if len(self._buffer) > BUFFER_MAXIMUM_RECORDS:
+        if len(self._buffer) > MAX_BUFFERED_RECORDS:
             del self._buffer[0]
             self._seeking_from = self._buffer[0].offset
         try:
--- a/azurestep/config/validate.py
+++ b/azurestep/config/validate.py
@@ -1,8 +1,8 @@
-"""Checks of a configuration: every fault is found, not the first alone.
+"""Validation of a configuration, which reports every fault.
 
-Two strictnesses exist. An operator's file is refused for a field that the
-program does not know, since that is nearly always a typing error. A record on
-the log may come from a newer program, so unknown fields are kept there.
+Unknown fields are faults in an operator's file, where they are usually typing
+errors. In records of the log they are kept, because a newer program may have
+written them.
 """
 
 from collections.abc import Iterator
@@ -26,8 +26,8 @@
 from .rules import check_configuration
 
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
-DEPTH_MAXIMUM = 16
-ENTRIES_MAXIMUM = 20_000
+MAX_DEPTH = 16
+MAX_ENTRIES = 20_000
 
 STRICT = cattrs.Converter(forbid_extra_keys=True, detailed_validation=True)
 TOLERANT = cattrs.Converter(forbid_extra_keys=False, detailed_validation=True)
@@ -36,12 +36,12 @@
 
 
 def read_document(raw: bytes) -> Result[Document, Faults]:
-    """Check an operator's JSON text and return its document.
+    """Validate an operator's JSON text and return its document.
 
     Returns
     -------
     Result
-        The document, or every fault with its JSON path and remedy.
+        The document, or all faults with JSON path and remedy.
     """
     parsed = parse_json(raw)
     if isinstance(parsed, Failure):
@@ -59,7 +59,7 @@
 
 
 def parse_json(raw: bytes) -> Result[dict[str, Any], Faults]:
-    """Parse bounded JSON text whose root is an object."""
+    """Parse JSON text of limited size and depth whose root is an object."""
     if len(raw) > MAX_DOCUMENT_BYTES:
         return _failure(
             "$",
@@ -72,9 +72,9 @@
         return _failure("$", f"is not JSON: {error}", "correct the text at that place")
     if not isinstance(plain, dict):
         return _failure("$", "is not an object", "write the configuration as {...}")
-    if _depth(plain) > DEPTH_MAXIMUM:
+    if _depth(plain) > MAX_DEPTH:
         return _failure(
-            "$", f"is nested deeper than {DEPTH_MAXIMUM}", "remove the extra nesting"
+            "$", f"is nested deeper than {MAX_DEPTH}", "remove the extra nesting"
         )
     return Success(plain)
 
@@ -86,7 +86,7 @@
 def _depth(value: Any) -> int:
     depth = 0
     level = [value]
-    while level and depth <= DEPTH_MAXIMUM:
+    while level and depth <= MAX_DEPTH:
         depth += 1
         level = [
             item
@@ -98,10 +98,10 @@
 
 
 def validate(document: Document) -> Result[Configuration, Faults]:
-    """Structure a document that came from the log and check it whole."""
-    if len(document.entries) > ENTRIES_MAXIMUM:
+    """Structure a document from the log and check it."""
+    if len(document.entries) > MAX_ENTRIES:
         return _failure(
-            "$", f"has more than {ENTRIES_MAXIMUM} entries", "remove unused entries"
+            "$", f"has more than {MAX_ENTRIES} entries", "remove unused entries"
         )
     malformed = tuple(_check_entries(document))
     if malformed:
@@ -114,7 +114,7 @@
 
 
 def _check_entries(document: Document) -> Iterator[Fault]:
-    """Yield the entries that can't be the part of a configuration they claim."""
+    """Yield the faults of entries that don't match their section and name."""
     for key, body in document.entries.items():
         path = _path_of(key)
         try:
@@ -123,25 +123,25 @@
             yield Fault(path, f"is not JSON: {error}", "publish the entry again")
             continue
         if not isinstance(plain, dict):
-            yield Fault(path, f"{show(plain)} is no object", "write it as {...}")
+            yield Fault(path, f"{show(plain)} is not an object", "write it as {...}")
         elif key.section is Section.FLEET:
             yield from _check_fleet(key, plain)
         elif plain.get("name") != key.name:
             yield Fault(
                 path,
                 f"holds the name {show(plain.get('name'))}",
-                "give the entry and its place the same name",
+                "give the entry and its key the same name",
             )
 
 
 def _check_fleet(key: EntryKey, plain: dict[str, Any]) -> Iterator[Fault]:
     if key.name:
-        yield Fault(_path_of(key), "stands beside the fleet's entry", "remove it")
+        yield Fault(_path_of(key), "is an extra entry of the fleet", "remove it")
     for section in LISTS:
         if section.field in plain:
             yield Fault(
                 f"$.{section.field}",
-                "stands in the fleet's entry",
+                "is part of the fleet's entry",
                 "write each item as an entry of its own",
             )
 
--- a/azurestep/once/claims.py
+++ b/azurestep/once/claims.py
@@ -1,4 +1,4 @@
-"""When an owner claims, extends and checkpoints."""
+"""Schedule of the claims, extensions and checkpoints of a node."""
 
 import statistics
 from collections import defaultdict
@@ -7,7 +7,7 @@
 import attrs
 
 from .assignment import preferred_owner
-from .checkpoints import CheckpointPace
+from .checkpoints import CheckpointSchedule
 from .fold import OwnershipFold, SlotId
 from .members import Members
 from .messages import AppendRecord, Moment
@@ -17,7 +17,7 @@
 from .slots import SlotState
 from .tenure import TenureState
 
-MIN_CLOCK_WITNESSES = 3
+MIN_CLOCK_SAMPLES = 3
 CLOCK_TOLERANCE_INTERVALS = 2
 
 
@@ -29,17 +29,17 @@
 
 
 @attrs.define
-class ClaimKeeper:
-    """Decides on the records that this node appends for itself.
+class ClaimScheduler:
+    """Decides which claims, extensions and checkpoints this node appends.
 
-    One append is on its way at a time. A repeated or late record does no harm,
-    because the fold refuses what does not fit.
+    One append is in flight at a time. Repeated or late records are harmless,
+    because the fold ignores records that don't match its state.
 
     Attributes
     ----------
     is_clock_ahead : bool
-        Whether the last records were held back because the clock is far ahead
-        of the other owners'.
+        Whether the last records were withheld because this node's clock is far
+        ahead of the other owners' clocks.
     """
 
     node: NodeId
@@ -50,26 +50,26 @@
     _pending: _Pending | None = None
     _append_count: int = 0
     _extend_before_ms: float = 0.0
-    _checkpoints: CheckpointPace = attrs.field(init=False)
+    _checkpoints: CheckpointSchedule = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._draw_extension()
-        self._checkpoints = CheckpointPace(self.node, self.settings)
+        self._schedule_extension()
+        self._checkpoints = CheckpointSchedule(self.node, self.settings)
 
     def next_id(self) -> str:
-        """Return an id that no other record has."""
+        """Return a unique record id."""
         self._append_count += 1
         return f"{self.node.incarnation}-{self._append_count}"
 
-    def append_done(self, append_id: str, offset: int) -> None:
-        """Wait until the record is read back."""
+    def record_append(self, append_id: str, offset: int) -> None:
+        """Record the offset of an append, to wait until it is read back."""
         if self._pending is not None and self._pending.append_id == append_id:
             self._pending = attrs.evolve(self._pending, offset=offset)
 
     def is_clock_plausible(self, fold: OwnershipFold, now: Moment) -> bool:
-        """Return whether the own clock agrees with what other owners wrote.
+        """Return whether the local clock agrees with the other owners' records.
 
-        A claim from a clock far ahead would block the slot until then.
+        A claim with a start far in the future would block the slot until then.
         """
         ends = {
             interval.node: interval.end_ms
@@ -77,7 +77,7 @@
             for interval in state.intervals[-1:]
             if interval.node != self.node
         }
-        if len(ends) < MIN_CLOCK_WITNESSES:
+        if len(ends) < MIN_CLOCK_SAMPLES:
             return True
         tolerance_ms = CLOCK_TOLERANCE_INTERVALS * self.settings.ownership_interval_ms
         return now.wall_ms <= statistics.median(ends.values()) + tolerance_ms
@@ -112,7 +112,7 @@
 
     # Extending
 
-    def _draw_extension(self) -> None:
+    def _schedule_extension(self) -> None:
         half_ms = self.settings.ownership_interval_ms / 2
         jitter = self.random.random() * self.settings.extend_jitter_ratio
         self._extend_before_ms = half_ms * (1 + jitter)
@@ -125,7 +125,7 @@
             if self._is_due(fold.state(slot_id), tenures[-1].state, now):
                 due[slot_id.service].append(slot_id.slot)
         if due:
-            self._draw_extension()
+            self._schedule_extension()
         end_ms = now.wall_ms + self.settings.ownership_interval_ms
         return [
             Extend(self.next_id(), self.node, service, tuple(extended), end_ms)
--- a/azurestep/once/owner.py
+++ b/azurestep/once/owner.py
@@ -1,4 +1,4 @@
-"""The owner's part: accept a key once, run it, keep its answer."""
+"""Role of the owner: accepts each key once, runs it and keeps its answer."""
 
 import attrs
 
@@ -19,7 +19,7 @@
 )
 from .records import Interval, NodeId
 from .settings import OnceSettings
-from .table import KeyTable, TableKey, trim
+from .table import KeyTable, TableKey, trim_answer
 from .tenure import Tenure, TenureState
 
 MAX_INBOUND_TABLES = 64
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class OwnerRequest:
-    """A request at its owner, from a caller here or from another node."""
+    """A request at its owner, from a caller of this node or from another node."""
 
     request_id: str
     sender: NodeId | None
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Reply:
-    """An owner's answer and where it goes; None is a caller of this node."""
+    """An owner's answer; the receiver is None for a caller of this node."""
 
     receiver: NodeId | None
     key: str
@@ -59,11 +59,11 @@
 
 @attrs.define
 class OwnerRole:
-    """Accepts keys inside the intervals that the log gave to this process.
+    """Accepts keys in the intervals that the log assigns to this process.
 
-    The role never trusts a clock: a key is accepted only if its own time lies
-    inside an interval that was read back from the log. As intervals of a slot
-    are disjoint, no other process ever accepts the same key.
+    A key is accepted only if its creation time lies in an interval read back
+    from the log. Intervals of a slot are disjoint, so no other process accepts
+    the same key.
     """
 
     node: NodeId
@@ -78,13 +78,13 @@
 
     # Ownership
 
-    def follow(self, fold: OwnershipFold, changed: set[SlotId]) -> None:
-        """Take over what the log says of this node's intervals."""
+    def apply_ownership(self, fold: OwnershipFold, changed: set[SlotId]) -> None:
+        """Update this node's tenures of changed slots from the log's state."""
         for slot_id in changed:
-            self._follow_slot(slot_id, fold)
+            self._apply_slot(slot_id, fold)
 
     def disable(self) -> None:
-        """Accept no key any more, because the log lost records."""
+        """Accept no more keys, because the log lost records."""
         self.disabled = True
 
     def tenure_at(self, slot_id: SlotId, time_ms: int) -> Tenure | None:
@@ -99,14 +99,14 @@
         """Slots of which this node owns an interval."""
         return set(self.tenures)
 
-    def knows(self, slot_id: SlotId, key: IdempotencyKey) -> bool:
-        """Return whether this node must answer for a key."""
+    def is_responsible_for(self, slot_id: SlotId, key: IdempotencyKey) -> bool:
+        """Return whether this node accepted a key or owns its time."""
         if self.table.get(slot_id.service, key.text) is not None:
             return True
         return self.tenure_at(slot_id, key.time_ms) is not None
 
     def receive_table(self, transfer: TableTransfer) -> None:
-        """Keep a predecessor's table until the log names this node."""
+        """Keep a predecessor's table until the log makes this node the owner."""
         self._inbound[transfer.digest] = transfer
         if len(self._inbound) > MAX_INBOUND_TABLES:
             self._inbound.pop(next(iter(self._inbound)))
@@ -116,20 +116,20 @@
                 if tenure.digest == transfer.digest:
                     self._load_table(slot_id, tenure)
 
-    def _follow_slot(self, slot_id: SlotId, fold: OwnershipFold) -> None:
+    def _apply_slot(self, slot_id: SlotId, fold: OwnershipFold) -> None:
         known = {tenure.id: tenure for tenure in self.tenures.get(slot_id, ())}
         kept = []
         for interval in fold.state(slot_id).intervals:
             if interval.node != self.node:
                 continue
-            tenure = known.get(interval.tenure) or self._begin(slot_id, interval)
+            tenure = known.get(interval.tenure) or self._begin_tenure(slot_id, interval)
             tenure.end_ms = interval.end_ms
             kept.append(tenure)
         self.tenures[slot_id] = kept
         if not kept:
             del self.tenures[slot_id]
 
-    def _begin(self, slot_id: SlotId, interval: Interval) -> Tenure:
+    def _begin_tenure(self, slot_id: SlotId, interval: Interval) -> Tenure:
         tenure = Tenure(
             interval.tenure,
             interval.start_ms,
@@ -171,7 +171,7 @@
         return [self.refuse(request, reason)]
 
     def refuse(self, request: OwnerRequest, reason: Reason) -> Reply:
-        """Return the answer to a request that this node did not accept."""
+        """Return the refusal of a request that this node did not accept."""
         is_proven = reason in PROVEN_NOT_RUN
         outcome = Outcome.NOT_RUN if is_proven else Outcome.MAY_HAVE_RUN
         return self._reply(request, outcome, reason)
@@ -261,7 +261,7 @@
 
     # Runs
 
-    def dispatch_failed(self, message: DispatchFailed) -> list[OwnerOutput]:
+    def record_dispatch_failure(self, message: DispatchFailed) -> list[OwnerOutput]:
         """Record that a run ended without an answer."""
         table_key = self._runs.pop(message.run_id, None)
         if table_key is None:
@@ -276,14 +276,14 @@
             table_key, Outcome.NOT_RUN, Reason.DISPATCH_REFUSED
         )
 
-    def answered(self, message: BackendServerAnswered) -> list[OwnerOutput]:
+    def record_answer(self, message: BackendServerAnswered) -> list[OwnerOutput]:
         """Record the answer of a run."""
         table_key = self._runs.pop(message.run_id, None)
         if table_key is None:
             return []
         kept = message.answer
         if kept.size_bytes > self.settings.max_answer_bytes:
-            kept = trim(kept)
+            kept = trim_answer(kept)
         self._record(table_key, KeyState.RAN, kept)
         return self._release_waiters(table_key, Outcome.RAN, Reason.RAN, message.answer)
 
@@ -300,8 +300,8 @@
         )
 
     def tick(self, now: Moment) -> list[OwnerOutput]:
-        """Drop old keys and answer those who waited too long."""
-        self._drop_old_keys(now)
+        """Expire old keys and answer requests that waited too long."""
+        self._expire_keys(now)
         outputs: list[OwnerOutput] = []
         for table_key, waiters in list(self._waiters.items()):
             late = [item for item in waiters if item.deadline_ms <= now.monotonic_ms]
@@ -314,12 +314,12 @@
             ]
         return outputs
 
-    def _drop_old_keys(self, now: Moment) -> None:
+    def _expire_keys(self, now: Moment) -> None:
         oldest_ms = now.wall_ms - self.settings.key_window_ms
-        for slot_id, trusted_from_ms in self.table.drop_older(oldest_ms).items():
+        for slot_id, trusted_from_ms in self.table.expire_before(oldest_ms).items():
             for tenure in self.tenures.get(slot_id, ()):
-                newest_ms = max(tenure.dropped_before_ms, trusted_from_ms)
-                tenure.dropped_before_ms = newest_ms
+                newest_ms = max(tenure.expired_before_ms, trusted_from_ms)
+                tenure.expired_before_ms = newest_ms
 
     def _record(
         self, table_key: TableKey, state: KeyState, answer: KeptAnswer | None
