--- a/azurestep/once/handover.py
+++ b/azurestep/once/handover.py
@@ -1,4 +1,4 @@
-"""Handing slots and their keys to a successor."""
+"""Handover of slots and their keys to a successor."""
 
 from collections import defaultdict
 from enum import StrEnum
@@ -6,7 +6,7 @@
 import attrs
 
 from .assignment import preferred_owner
-from .claims import ClaimKeeper
+from .claims import ClaimScheduler
 from .fold import OwnershipFold, SlotId
 from .members import Members
 from .messages import (
@@ -28,7 +28,7 @@
 
 
 class Phase(StrEnum):
-    """How far a handover is."""
+    """Phase of a handover."""
 
     DRAINING = "draining"
     SENT = "sent"
@@ -46,13 +46,13 @@
 
 @attrs.define
 class Handover:
-    """Slots of one service on their way to one successor."""
+    """A handover of slots of one service to one successor."""
 
     id: str
     service: str
     tenures: dict[SlotId, Tenure]
     successor: NodeId | None
-    is_stop: bool
+    is_shutdown: bool
     deadline_ms: float
     phase: Phase = Phase.DRAINING
     digest: str = ""
@@ -60,38 +60,38 @@
 
     @property
     def slot_ids(self) -> set[SlotId]:
-        """Slots that move."""
+        """Slots that are handed over."""
         return set(self.tenures)
 
 
 @attrs.define
-class HandoverKeeper:
+class HandoverManager:
     """Runs the handovers of a node.
 
-    The order matters: close the tenures, wait for running keys, send the table,
-    append the release. Once a release was handed to the log, the tenures never
-    open again, because it may take effect at any later time.
+    Each handover closes the tenures, waits for running keys, sends the table and
+    then appends the release. Once the release was sent to the log, the tenures
+    stay closed, because it may take effect at any later time.
     """
 
     settings: OnceSettings
     owner: OwnerRole
-    claims: ClaimKeeper
+    claims: ClaimScheduler
     _handovers: list[Handover] = attrs.field(factory=list)
     _rebalance_at_ms: float = 0.0
 
     @property
     def is_idle(self) -> bool:
-        """Whether no handover is under way."""
+        """Whether no handover is in progress."""
         return not self._handovers
 
-    def stop(self, members: Members, now: Moment) -> None:
-        """Hand every slot to a successor, as the node stops."""
+    def hand_over_all(self, members: Members, now: Moment) -> None:
+        """Start to hand over every slot, for a shutdown."""
         for handover in self._handovers:
-            handover.is_stop = True
-        self._start(self._movable(), members, now, is_stop=True)
+            handover.is_shutdown = True
+        self._start(self._open_slot_ids(), members, now, is_shutdown=True)
 
     def rebalance(self, members: Members, now: Moment) -> None:
-        """Hand over some slots that now prefer another live member."""
+        """Start to hand over slots whose preferred owner is another live member."""
         if self._handovers or now.monotonic_ms < self._rebalance_at_ms:
             return
         service = self.claims.service
@@ -101,22 +101,22 @@
         live = members.live(service) | {self.owner.node}
         moving = [
             slot_id
-            for slot_id in self._movable()
+            for slot_id in self._open_slot_ids()
             if slot_id.service == service
             and preferred_owner(slot_id, live) != self.owner.node
         ]
-        self._start(moving[:MAX_REBALANCED_SLOTS], members, now, is_stop=False)
+        self._start(moving[:MAX_REBALANCED_SLOTS], members, now, is_shutdown=False)
 
-    def receipt(self, transfer_id: str) -> list[HandoverOutput]:
-        """Release, now that the successor holds the table."""
+    def apply_receipt(self, transfer_id: str) -> list[HandoverOutput]:
+        """Release the slots whose table the successor has received."""
         outputs: list[HandoverOutput] = []
         for handover in self._handovers:
             if handover.id == transfer_id and handover.phase is Phase.SENT:
                 outputs.append(self._append_release(handover))
         return outputs
 
-    def follow(self, fold: OwnershipFold) -> None:
-        """Forget the handovers that were read back from the log."""
+    def drop_completed(self, fold: OwnershipFold) -> None:
+        """Remove the handovers whose release was read back from the log."""
         self._handovers = [
             handover
             for handover in self._handovers
@@ -124,7 +124,7 @@
         ]
 
     def tick(self, now: Moment) -> list[HandoverOutput]:
-        """Move each handover on."""
+        """Advance each handover."""
         outputs: list[HandoverOutput] = []
         for handover in list(self._handovers):
             outputs += self._advance(handover, now)
@@ -139,7 +139,7 @@
             return False
         return last.state is IntervalState.HELD
 
-    def _movable(self) -> list[SlotId]:
+    def _open_slot_ids(self) -> list[SlotId]:
         return [
             slot_id
             for slot_id, tenures in sorted(self.owner.tenures.items())
@@ -147,7 +147,12 @@
         ]
 
     def _start(
-        self, slot_ids: list[SlotId], members: Members, now: Moment, *, is_stop: bool
+        self,
+        slot_ids: list[SlotId],
+        members: Members,
+        now: Moment,
+        *,
+        is_shutdown: bool,
     ) -> None:
         groups: dict[_Destination, list[SlotId]] = defaultdict(list)
         for slot_id in slot_ids:
@@ -164,7 +169,7 @@
                     destination.service,
                     tenures,
                     destination.successor,
-                    is_stop,
+                    is_shutdown,
                     now.monotonic_ms + self.settings.handover_timeout_ms,
                 )
             )
@@ -177,7 +182,7 @@
             return self._send_table(handover, now)
         if not is_late:
             return []
-        if handover.phase is Phase.SENT and not handover.is_stop:
+        if handover.phase is Phase.SENT and not handover.is_shutdown:
             self._cancel(handover)
             return []
         handover.deadline_ms = now.monotonic_ms + self.settings.append_timeout_ms
