--- a/azurestep/config/document.py
+++ b/azurestep/config/document.py
@@ -30,7 +30,7 @@
         return self.name.lower()
 
 
-LISTS = (Section.SERVICES, Section.ROUTES, Section.PRESETS)
+LIST_SECTIONS = (Section.SERVICES, Section.ROUTES, Section.PRESETS)
 
 
 @attrs.frozen(order=True)
@@ -91,7 +91,7 @@
     report their position.
     """
     entries: dict[EntryKey, bytes] = {}
-    lists = {section.field: section for section in LISTS}
+    lists = {section.field: section for section in LIST_SECTIONS}
     fleet = {name: value for name, value in plain.items() if name not in lists}
     entries[EntryKey(Section.FLEET, "")] = canonical_json(fleet)
     for field, section in lists.items():
@@ -104,7 +104,7 @@
 
 def document_to_dict(document: Document) -> dict[str, Any]:
     """Return the configuration of a document as a dict, lists sorted by name."""
-    plain: dict[str, Any] = {section.field: [] for section in LISTS}
+    plain: dict[str, Any] = {section.field: [] for section in LIST_SECTIONS}
     for key in sorted(document.entries):
         value = orjson.loads(document.entries[key])
         if key.section is Section.FLEET:
--- a/azurestep/config/fold.py
+++ b/azurestep/config/fold.py
@@ -72,7 +72,7 @@
 
     def __init__(self) -> None:
         self.state = FoldState()
-        self._seeking_from: int | None = None
+        self._buffer_start: int | None = None
         self._buffer: list[LogRecord] = []
         self._halted_at: int | None = None
         self._regressed_at: int | None = None
@@ -81,11 +81,11 @@
     @property
     def next_offset(self) -> int:
         """Offset of the next record to read."""
-        if self._seeking_from is None:
+        if self._buffer_start is None:
             return self.state.as_of + 1
         if self._buffer:
             return self._buffer[-1].offset + 1
-        return self._seeking_from
+        return self._buffer_start
 
     @property
     def is_halted(self) -> bool:
@@ -93,9 +93,9 @@
         return self._halted_at == self.next_offset
 
     @property
-    def is_seeking(self) -> bool:
+    def is_incomplete(self) -> bool:
         """Whether a checkpoint or a peer's snapshot is needed to continue."""
-        return self._seeking_from is not None
+        return self._buffer_start is not None
 
     def apply_page(self, page: Page) -> list[FoldEvent]:
         """Apply the log's answer to a read from ``self.next_offset``."""
@@ -104,7 +104,7 @@
         self._regressed_at = None
         events: list[FoldEvent] = []
         if page.first_offset > self.next_offset:
-            events.append(self._start_seeking(page.first_offset))
+            events.append(self._mark_incomplete(page.first_offset))
         for record in page.records:
             if self.is_halted:
                 break
@@ -120,8 +120,8 @@
         self._regressed_at = next_offset
         return [Regressed(next_offset, self.state.as_of)]
 
-    def _start_seeking(self, offset: int) -> GapFound:
-        self._seeking_from = offset
+    def _mark_incomplete(self, offset: int) -> GapFound:
+        self._buffer_start = offset
         self._buffer = []
         return GapFound(offset, self.state.as_of)
 
@@ -147,15 +147,15 @@
         self.state = FoldState(as_of, delta.version, document, validated.unwrap())
         if self._halted_at is not None and self._halted_at <= as_of:
             self._halted_at = None
-        return Success([Adopted(delta.version), *self._stop_seeking()])
+        return Success([Adopted(delta.version), *self._replay_if_complete()])
 
-    def _stop_seeking(self) -> list[FoldEvent]:
-        if self._seeking_from is None or self._seeking_from > self.state.as_of + 1:
+    def _replay_if_complete(self) -> list[FoldEvent]:
+        if self._buffer_start is None or self._buffer_start > self.state.as_of + 1:
             return []
         return self._replay(self._buffer)
 
     def _replay(self, records: list[LogRecord]) -> list[FoldEvent]:
-        self._seeking_from = None
+        self._buffer_start = None
         self._buffer = []
         events: list[FoldEvent] = []
         for record in records:
@@ -167,7 +167,7 @@
         if format_of(record.value) > RECORD_FORMAT:
             self._halted_at = record.offset
             return [Unsupported(record.offset, format_of(record.value))]
-        if self._seeking_from is not None:
+        if self._buffer_start is not None:
             return self._buffer_record(record)
         return self._fold(record)
 
@@ -233,12 +233,12 @@
             return [read]
         if checkpoint.version > self.state.version:
             # The log was restored and lost publications that are in force.
-            return [read, self._start_seeking(checkpoint.as_of + 1)]
-        if self._contradicts(folded):
+            return [read, self._mark_incomplete(checkpoint.as_of + 1)]
+        if self._has_other_hash(folded):
             return [read, Mismatched(record.offset)]
         return [read]
 
-    def _contradicts(self, folded: FoldState) -> bool:
+    def _has_other_hash(self, folded: FoldState) -> bool:
         if folded.version != self.state.version:
             return False
         return folded.document.hash != self.state.document.hash
@@ -247,7 +247,7 @@
         self._buffer.append(record)
         if len(self._buffer) > MAX_BUFFERED_RECORDS:
             del self._buffer[0]
-            self._seeking_from = self._buffer[0].offset
+            self._buffer_start = self._buffer[0].offset
         try:
             decoded = decode_record(record.value)
         except MessageMalformedError:
@@ -259,15 +259,15 @@
     def _adopt_checkpoint(
         self, record: LogRecord, checkpoint: Checkpoint
     ) -> list[FoldEvent]:
-        seeking_from = self._seeking_from
-        if seeking_from is None or checkpoint.as_of + 1 < seeking_from:
+        buffer_start = self._buffer_start
+        if buffer_start is None or checkpoint.as_of + 1 < buffer_start:
             return []
         if checkpoint.version < self.state.version:
             return []
         folded = _state_of(checkpoint, record.offset)
         if folded is None:
             return []
-        if self._contradicts(folded):
+        if self._has_other_hash(folded):
             return [Mismatched(record.offset)]
         self.state = folded
         return [Adopted(checkpoint.version), *self._replay(self._buffer)]
--- a/azurestep/config/presets.py
+++ b/azurestep/config/presets.py
@@ -46,10 +46,10 @@
 def _patched(item: Item, patch: ServicePatch | RoutePatch | None) -> Item:
     if patch is None:
         return item
-    own_name = "service" if isinstance(patch, ServicePatch) else "route"
+    reference_field = "service" if isinstance(patch, ServicePatch) else "route"
     values = {
         field.name: getattr(patch, field.name)
         for field in attrs.fields(type(patch))
-        if field.name != own_name and getattr(patch, field.name) is not None
+        if field.name != reference_field and getattr(patch, field.name) is not None
     }
     return attrs.evolve(item, **values)
--- a/azurestep/config/records.py
+++ b/azurestep/config/records.py
@@ -165,5 +165,5 @@
     """Return the format of an undecoded record; 0 if it has none."""
     if not isinstance(value, dict):
         return 0
-    named = value.get("format", 0)
-    return named if isinstance(named, int) else 0
+    number = value.get("format", 0)
+    return number if isinstance(number, int) else 0
--- a/azurestep/config/validate.py
+++ b/azurestep/config/validate.py
@@ -15,7 +15,7 @@
 from ..faults import Fault
 from ..shape import find_faults, show
 from .document import (
-    LISTS,
+    LIST_SECTIONS,
     Document,
     EntryKey,
     Section,
@@ -90,8 +90,10 @@
         depth += 1
         level = [
             item
-            for node in level
-            for item in (node.values() if isinstance(node, dict) else node)
+            for container in level
+            for item in (
+                container.values() if isinstance(container, dict) else container
+            )
             if isinstance(item, dict | list)
         ]
     return depth
@@ -137,7 +139,7 @@
 def _check_fleet(key: EntryKey, plain: dict[str, Any]) -> Iterator[Fault]:
     if key.name:
         yield Fault(_path_of(key), "is an extra entry of the fleet", "remove it")
-    for section in LISTS:
+    for section in LIST_SECTIONS:
         if section.field in plain:
             yield Fault(
                 f"$.{section.field}",
--- a/azurestep/node/checkpoints.py
+++ b/azurestep/node/checkpoints.py
@@ -31,7 +31,7 @@
 
     def is_due(self, fold: ConfigurationFold, now_ms: float) -> bool:
         """Whether enough records or time came since."""
-        if not fold.state.version or fold.is_seeking:
+        if not fold.state.version or fold.is_incomplete:
             return False
         if fold.state.as_of - self.as_of >= self.settings.checkpoint_records:
             return True
--- a/azurestep/once/accept.py
+++ b/azurestep/once/accept.py
@@ -5,7 +5,7 @@
 import attrs
 
 from .fold import OwnershipFold, SlotId
-from .key import IdempotencyKey, mint_key
+from .key import IdempotencyKey, generate_key
 from .members import Members
 from .messages import (
     AnswerCaller,
@@ -33,7 +33,7 @@
 
 
 @attrs.define
-class AcceptRole:
+class RequestForwarder:
     """Forwards callers' requests to the owners of their keys.
 
     Answers "not run" only if the key can't have been accepted, or if the caller
@@ -64,7 +64,7 @@
             if self._is_open(SlotId(service, slot), now)
         )
 
-    def mint(self, service: str, now: Moment) -> IdempotencyKey:
+    def generate_key(self, service: str, now: Moment) -> IdempotencyKey:
         """Create a key, preferably for an open slot of this node."""
         open_slots = self.open_slots(service, now)
         own = [
@@ -73,7 +73,7 @@
             if self.owner.tenure_at(SlotId(service, slot), now.wall_ms)
         ]
         candidates = own or open_slots or range(self.slot_count(service))
-        return mint_key(now.wall_ms, self.random.choice(candidates), self.random)
+        return generate_key(now.wall_ms, self.random.choice(candidates), self.random)
 
     def route(
         self, request: RequestArrived, key: IdempotencyKey, now: Moment
@@ -196,10 +196,10 @@
         owner_answer: OwnerAnswer | None = None,
     ) -> AnswerCaller:
         if outcome in (Outcome.RAN, Outcome.KEY_REUSED):
-            hints: tuple[int, ...] = ()
+            open_slots: tuple[int, ...] = ()
             retry_after_ms = 0
         else:
-            hints = self.open_slots(request.service, now)
+            open_slots = self.open_slots(request.service, now)
             retry_after_ms = self.settings.retry_after_ms
         return AnswerCaller(
             request.request_id,
@@ -210,6 +210,6 @@
             final,
             owner_answer.answer if owner_answer else None,
             owner_answer.replayed if owner_answer else False,
-            hints,
+            open_slots,
             self.slot_count(request.service),
         )
--- a/azurestep/once/answers.py
+++ b/azurestep/once/answers.py
@@ -79,5 +79,7 @@
     @property
     def size_bytes(self) -> int:
         """Size of headers and body."""
-        names = sum(len(header.name) + len(header.value) for header in self.headers)
-        return names + len(self.body)
+        headers_bytes = sum(
+            len(header.name) + len(header.value) for header in self.headers
+        )
+        return headers_bytes + len(self.body)
--- a/azurestep/once/checkpoints.py
+++ b/azurestep/once/checkpoints.py
@@ -41,8 +41,8 @@
         owners = {
             state.last.node for state in fold.states.values() if state.last is not None
         }
-        order = SlotId("checkpoint", fold.checkpoint_as_of)
-        position = rank(order, self.node, owners)
+        ranking_key = SlotId("checkpoint", fold.checkpoint_as_of)
+        position = rank(ranking_key, self.node, owners)
         if self.node not in owners:
             position += len(owners)
         delay = 1 + DELAY_RATIO_PER_RANK * position
--- a/azurestep/once/claims.py
+++ b/azurestep/once/claims.py
@@ -49,11 +49,11 @@
     is_clock_ahead: bool = False
     _pending: _Pending | None = None
     _append_count: int = 0
-    _extend_before_ms: float = 0.0
+    _extension_lead_ms: float = 0.0
     _checkpoints: CheckpointSchedule = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._schedule_extension()
+        self._draw_extension_lead()
         self._checkpoints = CheckpointSchedule(self.node, self.settings)
 
     def next_id(self) -> str:
@@ -112,10 +112,10 @@
 
     # Extending
 
-    def _schedule_extension(self) -> None:
+    def _draw_extension_lead(self) -> None:
         half_ms = self.settings.ownership_interval_ms / 2
         jitter = self.random.random() * self.settings.extend_jitter_ratio
-        self._extend_before_ms = half_ms * (1 + jitter)
+        self._extension_lead_ms = half_ms * (1 + jitter)
 
     def _extensions(
         self, owner: OwnerRole, fold: OwnershipFold, now: Moment
@@ -125,7 +125,7 @@
             if self._is_due(fold.state(slot_id), tenures[-1].state, now):
                 due[slot_id.service].append(slot_id.slot)
         if due:
-            self._schedule_extension()
+            self._draw_extension_lead()
         end_ms = now.wall_ms + self.settings.ownership_interval_ms
         return [
             Extend(self.next_id(), self.node, service, tuple(extended), end_ms)
@@ -138,7 +138,7 @@
             return False
         if last.state is not IntervalState.HELD or tenure_state is not TenureState.OPEN:
             return False
-        return 0 < last.end_ms - now.wall_ms <= self._extend_before_ms
+        return 0 < last.end_ms - now.wall_ms <= self._extension_lead_ms
 
     # Claiming
 
--- a/azurestep/once/decision.py
+++ b/azurestep/once/decision.py
@@ -7,7 +7,7 @@
 from returns.result import Success
 
 from .. import events
-from .accept import FIRST_ATTEMPT, AcceptRole
+from .accept import FIRST_ATTEMPT, RequestForwarder
 from .claims import ClaimScheduler
 from .fold import OwnershipFold
 from .handover import HandoverManager
@@ -39,7 +39,7 @@
     TableTransfer,
     Tick,
 )
-from .owner import OwnerOutput, OwnerRequest, OwnerRole, Reply
+from .owner import AddressedAnswer, OwnerOutput, OwnerRequest, OwnerRole
 from .records import NodeId
 from .settings import OnceSettings
 from .table import KeyTable, digest_of
@@ -71,7 +71,7 @@
     fold: OwnershipFold = attrs.field(init=False, factory=OwnershipFold)
     members: Members = attrs.field(init=False, factory=Members)
     owner: OwnerRole = attrs.field(init=False)
-    accept: AcceptRole = attrs.field(init=False)
+    forwarder: RequestForwarder = attrs.field(init=False)
     claims: ClaimScheduler = attrs.field(init=False)
     handovers: HandoverManager = attrs.field(init=False)
     _local_requests: dict[str, RequestArrived] = attrs.field(init=False, factory=dict)
@@ -82,7 +82,7 @@
 
     def __attrs_post_init__(self) -> None:
         self.owner = OwnerRole(self.node, self.settings, KeyTable(self.settings))
-        self.accept = AcceptRole(
+        self.forwarder = RequestForwarder(
             self.node,
             self.settings,
             self.fold,
@@ -116,19 +116,19 @@
     @_handle.register
     def _(self, message: RequestArrived, now: Moment) -> list[Output]:
         if not message.key:
-            minted = self.accept.mint(message.service, now)
-            message = attrs.evolve(message, key=minted.text, attempt=FIRST_ATTEMPT)
+            generated = self.forwarder.generate_key(message.service, now)
+            message = attrs.evolve(message, key=generated.text, attempt=FIRST_ATTEMPT)
         parsed = parse_key(message.key)
         if not isinstance(parsed, Success):
-            return [self.accept.refuse_permanently(message, Reason.KEY_INVALID, now)]
+            return [self.forwarder.refuse_permanently(message, Reason.KEY_INVALID, now)]
         key = parsed.unwrap()
         message = attrs.evolve(message, key=key.text)
-        slot_id = self.accept.slot_id(message.service, key)
+        slot_id = self.forwarder.slot_id(message.service, key)
         if self.owner.is_responsible_for(slot_id, key):
-            request = _owner_request(message, None, self.accept)
+            request = _owner_request(message, None, self.forwarder)
             self._local_requests[message.request_id] = message
             return self._convert(self.owner.accept(request, now), now)
-        return [self.accept.route(message, key, now)]
+        return [self.forwarder.route(message, key, now)]
 
     @_handle.register
     def _(self, message: PeerSent, now: Moment) -> list[Output]:
@@ -144,12 +144,12 @@
     def _(self, message: ForwardedRequest, sender: NodeId, now: Moment) -> list[Output]:
         if not isinstance(parse_key(message.key), Success):
             return []
-        request = _owner_request(message, sender, self.accept)
+        request = _owner_request(message, sender, self.forwarder)
         return self._convert(self.owner.accept(request, now), now)
 
     @_handle_peer.register
     def _(self, message: OwnerAnswer, sender: NodeId, now: Moment) -> list[Output]:
-        return [*self.accept.apply_owner_answer(message, now)]
+        return [*self.forwarder.apply_owner_answer(message, now)]
 
     @_handle_peer.register
     def _(self, message: TableTransfer, sender: NodeId, now: Moment) -> list[Output]:
@@ -165,7 +165,9 @@
 
     @_handle.register
     def _(self, message: ForwardFailed, now: Moment) -> list[Output]:
-        return [*self.accept.fail_forward(message.request_id, message.bytes_sent, now)]
+        return [
+            *self.forwarder.fail_forward(message.request_id, message.bytes_sent, now)
+        ]
 
     @_handle.register
     def _(self, message: DispatchFailed, now: Moment) -> list[Output]:
@@ -234,7 +236,7 @@
 
     @_handle.register
     def _(self, message: Tick, now: Moment) -> list[Output]:
-        outputs: list[Output] = [*self.accept.tick(now)]
+        outputs: list[Output] = [*self.forwarder.tick(now)]
         outputs += self._convert(self.owner.tick(now), now)
         if self._has_read and not self._stopping and not self.owner.disabled:
             outputs += self._claim(now)
@@ -258,27 +260,29 @@
 
     def _convert(self, outputs: list[OwnerOutput], now: Moment) -> list[Output]:
         return [
-            self._convert_reply(output, now) if isinstance(output, Reply) else output
+            self._convert_answer(output, now)
+            if isinstance(output, AddressedAnswer)
+            else output
             for output in outputs
         ]
 
-    def _convert_reply(self, reply: Reply, now: Moment) -> Output:
-        if reply.receiver is not None:
-            return SendToPeer(reply.receiver, reply.answer)
-        request = self._local_requests.pop(reply.answer.request_id)
-        return self.accept.answer_of(request, reply.answer, now)
+    def _convert_answer(self, addressed: AddressedAnswer, now: Moment) -> Output:
+        if addressed.receiver is not None:
+            return SendToPeer(addressed.receiver, addressed.answer)
+        request = self._local_requests.pop(addressed.answer.request_id)
+        return self.forwarder.answer_of(request, addressed.answer, now)
 
 
 def _owner_request(
     message: RequestArrived | ForwardedRequest,
     sender: NodeId | None,
-    accept: AcceptRole,
+    forwarder: RequestForwarder,
 ) -> OwnerRequest:
     key = parse_key(message.key).unwrap()
     return OwnerRequest(
         message.request_id,
         sender,
-        accept.slot_id(message.service, key),
+        forwarder.slot_id(message.service, key),
         key,
         message.fingerprint,
         message.remaining_ms,
--- a/azurestep/once/fold.py
+++ b/azurestep/once/fold.py
@@ -150,8 +150,8 @@
             return set()
         return self._apply_record(record)
 
-    def _buffer_record(self, read: _BufferedRecord) -> None:
-        self._buffer.append(read)
+    def _buffer_record(self, buffered: _BufferedRecord) -> None:
+        self._buffer.append(buffered)
         if len(self._buffer) > MAX_BUFFERED_RECORDS:
             dropped = self._buffer.pop(0)
             self._buffer_start = dropped.offset + 1
@@ -172,9 +172,9 @@
             SlotId(item.service, item.slot): SlotState(item.horizon_ms, item.intervals)
             for item in record.slots
         }
-        for read in self._buffer:
-            if read.offset > record.as_of:
-                self._apply_record(read.record)
+        for buffered in self._buffer:
+            if buffered.offset > record.as_of:
+                self._apply_record(buffered.record)
         self._buffer = []
         return set(self.states)
 
--- a/azurestep/once/key.py
+++ b/azurestep/once/key.py
@@ -67,7 +67,7 @@
     return Success(_key_of(value))
 
 
-def mint_key(now_ms: int, last_byte: int, source: random.Random) -> IdempotencyKey:
+def generate_key(now_ms: int, last_byte: int, source: random.Random) -> IdempotencyKey:
     """Create a key with a given time and last byte, random otherwise."""
     value = (now_ms & TIME_MASK) << TIME_SHIFT_BITS
     value |= VERSION_BITS | VARIANT_BITS
--- a/azurestep/once/owner.py
+++ b/azurestep/once/owner.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class Reply:
+class AddressedAnswer:
     """An owner's answer; the receiver is None for a caller of this node."""
 
     receiver: NodeId | None
@@ -54,7 +54,7 @@
     is_first: bool
 
 
-OwnerOutput = RunHere | Reply
+OwnerOutput = RunHere | AddressedAnswer
 
 
 @attrs.define
@@ -150,7 +150,7 @@
         for entry in transfer.entries:
             if entry.slot == slot_id.slot:
                 self._merge(entry)
-        tenure.complete_from_ms = max(tenure.start_ms, trusted[slot_id.slot])
+        tenure.received_from_ms = max(tenure.start_ms, trusted[slot_id.slot])
 
     def _merge(self, entry: TableEntry) -> None:
         known = self.table.get(entry.service, entry.key)
@@ -170,11 +170,11 @@
             return [self._run(request, now)]
         return [self.refuse(request, reason)]
 
-    def refuse(self, request: OwnerRequest, reason: Reason) -> Reply:
+    def refuse(self, request: OwnerRequest, reason: Reason) -> AddressedAnswer:
         """Return the refusal of a request that this node did not accept."""
         is_proven = reason in PROVEN_NOT_RUN
         outcome = Outcome.NOT_RUN if is_proven else Outcome.MAY_HAVE_RUN
-        return self._reply(request, outcome, reason)
+        return self._answer(request, outcome, reason)
 
     def _refusal(self, request: OwnerRequest) -> Reason | None:
         tenure = self.tenure_at(request.slot_id, request.key.time_ms)
@@ -230,10 +230,10 @@
         self, request: OwnerRequest, entry: TableEntry, now: Moment
     ) -> list[OwnerOutput]:
         if entry.fingerprint != request.fingerprint:
-            return [self._reply(request, Outcome.KEY_REUSED, Reason.KEY_REUSED)]
+            return [self._answer(request, Outcome.KEY_REUSED, Reason.KEY_REUSED)]
         if entry.state is KeyState.RAN:
             return [
-                self._reply(
+                self._answer(
                     request,
                     Outcome.RAN,
                     Reason.RAN,
@@ -242,14 +242,14 @@
                 )
             ]
         if entry.state is KeyState.MAY_HAVE_RUN:
-            return [self._reply(request, Outcome.MAY_HAVE_RUN, Reason.DISPATCH_LOST)]
+            return [self._answer(request, Outcome.MAY_HAVE_RUN, Reason.DISPATCH_LOST)]
         return self._wait(request, now)
 
     def _wait(self, request: OwnerRequest, now: Moment) -> list[OwnerOutput]:
         table_key = TableKey(request.slot_id.service, request.key.text)
         waiters = self._waiters.setdefault(table_key, [])
         if len(waiters) > self.settings.max_waiters:
-            return [self._reply(request, Outcome.MAY_HAVE_RUN, Reason.IN_PROGRESS)]
+            return [self._answer(request, Outcome.MAY_HAVE_RUN, Reason.IN_PROGRESS)]
         waiters.append(self._waiter(request, now, is_first=False))
         return []
 
@@ -268,13 +268,11 @@
             return []
         if message.bytes_sent:
             self._record(table_key, KeyState.MAY_HAVE_RUN, None)
-            return self._release_waiters(
+            return self._answer_waiters(
                 table_key, Outcome.MAY_HAVE_RUN, Reason.DISPATCH_LOST
             )
         self.table.remove(table_key.service, table_key.key)
-        return self._release_waiters(
-            table_key, Outcome.NOT_RUN, Reason.DISPATCH_REFUSED
-        )
+        return self._answer_waiters(table_key, Outcome.NOT_RUN, Reason.DISPATCH_REFUSED)
 
     def record_answer(self, message: BackendServerAnswered) -> list[OwnerOutput]:
         """Record the answer of a run."""
@@ -285,7 +283,7 @@
         if kept.size_bytes > self.settings.max_answer_bytes:
             kept = trim_answer(kept)
         self._record(table_key, KeyState.RAN, kept)
-        return self._release_waiters(table_key, Outcome.RAN, Reason.RAN, message.answer)
+        return self._answer_waiters(table_key, Outcome.RAN, Reason.RAN, message.answer)
 
     def is_running(self, slot_ids: set[SlotId]) -> bool:
         """Return whether a key of some slots is running."""
@@ -309,7 +307,7 @@
                 continue
             self._waiters[table_key] = [item for item in waiters if item not in late]
             outputs += [
-                self._reply(item.request, Outcome.MAY_HAVE_RUN, Reason.IN_PROGRESS)
+                self._answer(item.request, Outcome.MAY_HAVE_RUN, Reason.IN_PROGRESS)
                 for item in late
             ]
         return outputs
@@ -318,8 +316,8 @@
         oldest_ms = now.wall_ms - self.settings.key_window_ms
         for slot_id, trusted_from_ms in self.table.expire_before(oldest_ms).items():
             for tenure in self.tenures.get(slot_id, ()):
-                newest_ms = max(tenure.expired_before_ms, trusted_from_ms)
-                tenure.expired_before_ms = newest_ms
+                expired_before_ms = max(tenure.expired_before_ms, trusted_from_ms)
+                tenure.expired_before_ms = expired_before_ms
 
     def _record(
         self, table_key: TableKey, state: KeyState, answer: KeptAnswer | None
@@ -328,7 +326,7 @@
         if entry is not None:
             self.table.put(attrs.evolve(entry, state=state, answer=answer))
 
-    def _release_waiters(
+    def _answer_waiters(
         self,
         table_key: TableKey,
         outcome: Outcome,
@@ -336,7 +334,7 @@
         answer: KeptAnswer | None = None,
     ) -> list[OwnerOutput]:
         return [
-            self._reply(
+            self._answer(
                 waiter.request,
                 outcome,
                 reason,
@@ -346,7 +344,7 @@
             for waiter in self._waiters.pop(table_key, [])
         ]
 
-    def _reply(
+    def _answer(
         self,
         request: OwnerRequest,
         outcome: Outcome,
@@ -354,11 +352,11 @@
         *,
         answer: KeptAnswer | None = None,
         replayed: bool = False,
-    ) -> Reply:
+    ) -> AddressedAnswer:
         retry_after_ms = 0
         if outcome is not Outcome.RAN:
             retry_after_ms = self.settings.retry_after_ms
-        return Reply(
+        return AddressedAnswer(
             request.sender,
             request.key.text,
             request.slot_id.service,
--- a/azurestep/once/slots.py
+++ b/azurestep/once/slots.py
@@ -68,7 +68,7 @@
         tenure=record.id,
         cut_ms=record.start_ms,
     )
-    return _bounded(SlotState(state.horizon_ms, (*state.intervals, interval)))
+    return _drop_oldest(SlotState(state.horizon_ms, (*state.intervals, interval)))
 
 
 def extend(state: SlotState, record: Extend) -> SlotState:
@@ -109,7 +109,7 @@
     return attrs.evolve(state, intervals=(*state.intervals[:-1], interval))
 
 
-def _bounded(state: SlotState) -> SlotState:
+def _drop_oldest(state: SlotState) -> SlotState:
     if len(state.intervals) <= MAX_INTERVALS:
         return state
     dropped, *kept = state.intervals
--- a/azurestep/once/table.py
+++ b/azurestep/once/table.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(order=True)
-class _Age:
+class _TimedKey:
     time_ms: int
     table_key: TableKey
 
@@ -36,8 +36,8 @@
 
     settings: OnceSettings
     _entries: dict[TableKey, TableEntry] = attrs.field(factory=dict)
-    _ages: list[_Age] = attrs.field(factory=list)
-    _aged: set[TableKey] = attrs.field(factory=set)
+    _expiry_heap: list[_TimedKey] = attrs.field(factory=list)
+    _queued: set[TableKey] = attrs.field(factory=set)
     _answered: deque[TableKey] = attrs.field(factory=deque)
     _answers_bytes: int = 0
 
@@ -62,9 +62,9 @@
         """Add an entry or replace the entry of the same key."""
         table_key = TableKey(entry.service, entry.key)
         known = self._entries.get(table_key)
-        if table_key not in self._aged:
-            self._aged.add(table_key)
-            heapq.heappush(self._ages, _Age(entry.time_ms, table_key))
+        if table_key not in self._queued:
+            self._queued.add(table_key)
+            heapq.heappush(self._expiry_heap, _TimedKey(entry.time_ms, table_key))
         self._answers_bytes += _answer_bytes(entry) - _answer_bytes(known)
         self._entries[table_key] = entry
         if _answer_bytes(entry) > 0:
@@ -87,21 +87,21 @@
         """
         trusted_from_ms: dict[SlotId, int] = {}
         running = []
-        while self._ages and self._ages[0].time_ms < time_ms:
-            age = heapq.heappop(self._ages)
-            self._aged.discard(age.table_key)
-            entry = self._entries.get(age.table_key)
+        while self._expiry_heap and self._expiry_heap[0].time_ms < time_ms:
+            timed = heapq.heappop(self._expiry_heap)
+            self._queued.discard(timed.table_key)
+            entry = self._entries.get(timed.table_key)
             if entry is None:
                 continue
             if entry.state is KeyState.RUNNING:
-                running.append(age)
+                running.append(timed)
                 continue
             self.remove(entry.service, entry.key)
             slot_id = SlotId(entry.service, entry.slot)
             trusted_from_ms[slot_id] = entry.time_ms + 1
-        for age in running:
-            self._aged.add(age.table_key)
-            heapq.heappush(self._ages, age)
+        for timed in running:
+            self._queued.add(timed.table_key)
+            heapq.heappush(self._expiry_heap, timed)
         return trusted_from_ms
 
     def entries_of(self, slot_ids: set[SlotId]) -> tuple[TableEntry, ...]:
--- a/azurestep/once/tenure.py
+++ b/azurestep/once/tenure.py
@@ -21,7 +21,7 @@
     ----------
     id : str
         Id of the record that started the tenure.
-    complete_from_ms : int
+    received_from_ms : int
         Key time from which on this node received every key that a former owner
         accepted.
     expired_before_ms : int
@@ -33,7 +33,7 @@
     id: str
     start_ms: int
     end_ms: int
-    complete_from_ms: int
+    received_from_ms: int
     digest: str = ""
     expired_before_ms: int = 0
     max_accepted_ms: int = 0
@@ -42,7 +42,7 @@
     @property
     def trusted_from_ms(self) -> int:
         """Key time from which on the table holds every accepted key."""
-        return max(self.complete_from_ms, self.expired_before_ms)
+        return max(self.received_from_ms, self.expired_before_ms)
 
     def covers(self, time_ms: int) -> bool:
         """Return whether a key time lies inside."""
--- a/bench/once_callers.py
+++ b/bench/once_callers.py
@@ -6,7 +6,7 @@
 import attrs
 
 from azurestep.once import messages as m
-from azurestep.once.key import mint_key
+from azurestep.once.key import generate_key
 
 from .once_faults import DATA_CENTRES, INSTANCES, Payment
 from .once_model import CALLER_TIMEOUT_MS, EPOCH_MS, SERVICE, Model
@@ -107,7 +107,7 @@
         last_byte = self.random.randrange(256)
         if open_slots:
             last_byte = self.random.choice(open_slots)
-        pursuit.key = mint_key(wall_ms, last_byte, self.random).text
+        pursuit.key = generate_key(wall_ms, last_byte, self.random).text
         self._payment_of_key[pursuit.key] = pursuit.payment.name
 
     def _send_late(self, pursuit: _Pursuit, key: str) -> None:
--- a/bench/once_live.py
+++ b/bench/once_live.py
@@ -9,7 +9,7 @@
 import attrs
 import orjson
 
-from azurestep.once.key import mint_key, parse_key
+from azurestep.once.key import generate_key, parse_key
 from azurestep.once.messages import Outcome
 from azurestep.traffic import headers
 
@@ -112,7 +112,7 @@
     is_not_run = answer.outcome == Outcome.NOT_RUN
     if answer.is_final or (is_not_run and last.attempt == 1):
         slot = source.choice(answer.open_slots or ANY_SLOT)
-        return Copy(mint_key(now_ms, slot, source).text)
+        return Copy(generate_key(now_ms, slot, source).text)
     return Copy(last.key, last.attempt + 1)
 
 
@@ -140,7 +140,7 @@
     def mint(self, slots: tuple[int, ...] = ANY_SLOT) -> Copy:
         """Return the first copy of a payment in one of some slots."""
         slot = self._source.choice(slots)
-        return Copy(mint_key(now_ms(), slot, self._source).text)
+        return Copy(generate_key(now_ms(), slot, self._source).text)
 
     async def send(self, url: str, copy: Copy) -> Answer:
         """Send one copy and read its answer."""
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -76,25 +76,25 @@
 
     assert from_publication.state.version == old.state.version
     assert timeout_in(from_publication.state.document) == 1200
-    assert from_checkpoint.is_seeking
+    assert from_checkpoint.is_incomplete
     assert from_checkpoint.state.version == 0
     fake_log.checkpoint(old.state)
     fake_log.feed(from_checkpoint)
     assert from_checkpoint.state.document == old.state.document
 
 
-def test_snapshot_from_a_peer_ends_seeking_and_replays_buffered_records(fake_log):
+def test_snapshot_from_a_peer_completes_the_fold_and_replays_buffered_records(fake_log):
     old = published(fake_log, 1100)
     snapshot = snapshot_of(old)
     fake_log.drop_before(old.next_offset)
     fake_log.publish("next", old.state.version, timeout_change(1200))
-    newcomer = ConfigurationFold()
-    assert kinds(fake_log.feed(newcomer)) == [GapFound]
+    new_reader = ConfigurationFold()
+    assert kinds(fake_log.feed(new_reader)) == [GapFound]
 
-    events = newcomer.adopt(snapshot).unwrap()
+    events = new_reader.adopt(snapshot).unwrap()
 
     assert kinds(events) == [Adopted, Accepted]
-    assert timeout_in(newcomer.state.document) == 1200
+    assert timeout_in(new_reader.state.document) == 1200
 
 
 def test_checkpoint_of_the_same_version_with_another_hash_is_not_adopted(fake_log):
@@ -139,18 +139,18 @@
 def test_checkpoint_after_a_restore_gives_new_readers_the_version_in_force(fake_log):
     fleet = published(fake_log, 1100, 1200)
     fake_log.restore(2)
-    newcomer = ConfigurationFold()
-    fake_log.feed(newcomer)
+    new_reader = ConfigurationFold()
+    fake_log.feed(new_reader)
     while fake_log.next_offset <= fleet.state.as_of:
         fake_log.append({"kind": "Filler", "id": "f", "operator": "ann", "format": 1})
     fake_log.checkpoint(fleet.state)
     fake_log.publish("next", fleet.state.version, timeout_change(1300))
 
-    fake_log.feed(newcomer)
+    fake_log.feed(new_reader)
     fake_log.feed(fleet)
 
-    assert newcomer.state.version == fleet.state.version
-    assert timeout_in(newcomer.state.document) == 1300
+    assert new_reader.state.version == fleet.state.version
+    assert timeout_in(new_reader.state.document) == 1300
 
 
 def test_newer_format_halts_the_fold_until_a_peer_sends_a_later_version(fake_log):
--- a/tests/test_fold_races.py
+++ b/tests/test_fold_races.py
@@ -3,7 +3,7 @@
 from bench.races import BaseVersions, LastWriteWins, Race, run
 
 
-def test_base_versions_lose_no_update_that_last_write_wins_loses():
+def test_base_versions_prevent_lost_updates():
     with_rule = run(Race(BaseVersions(), 4, 24, 500.0))
     without = run(Race(LastWriteWins(), 4, 24, 500.0))
 
--- a/tests/test_fold_racing_operators.py
+++ b/tests/test_fold_racing_operators.py
@@ -164,9 +164,9 @@
         timeout_change(1300), held, deadline_ms(environment)
     )
 
-    newcomer = ConfigurationFold()
-    for fold in (node.fold, newcomer, newcomer):
+    new_reader = ConfigurationFold()
+    for fold in (node.fold, new_reader, new_reader):
         fold.apply_page((await client.read(STREAM, fold.next_offset)).unwrap())
     assert verdict.unwrap().is_accepted
-    assert newcomer.state.version == node.fold.state.version > before
-    assert newcomer.state.document.hash == node.fold.state.document.hash
+    assert new_reader.state.version == node.fold.state.version > before
+    assert new_reader.state.document.hash == node.fold.state.document.hash
--- a/tests/test_fold_readers.py
+++ b/tests/test_fold_readers.py
@@ -132,9 +132,9 @@
         if not hasattr(self, "log"):
             return
         for fold in self.readers:
-            if not fold.is_seeking:
+            if not fold.is_incomplete:
                 self.log.feed(fold)
-            if not fold.is_seeking:
+            if not fold.is_incomplete:
                 assert fold.state.version == self.reference.state.version
 
 
--- a/tests/test_once_decision.py
+++ b/tests/test_once_decision.py
@@ -8,7 +8,7 @@
 from azurestep.once import NodeId, OnceDecision, OnceSettings
 from azurestep.once import messages as m
 from azurestep.once.fold import LogEntry
-from azurestep.once.key import mint_key
+from azurestep.once.key import generate_key
 from azurestep.once.records import Claim, encode_record
 
 SERVICE = "licensing"
@@ -80,7 +80,7 @@
 
 
 def request(pair: Pair, request_id: str = "r1", **fields) -> m.RequestArrived:
-    key = mint_key(pair.now.wall_ms, fields.pop("slot", 0), random.Random(7)).text
+    key = generate_key(pair.now.wall_ms, fields.pop("slot", 0), random.Random(7)).text
     values = {"key": key, "fingerprint": "f", "attempt": 0, "remaining_ms": 2000}
     return m.RequestArrived(request_id, SERVICE, **(values | fields))
 
@@ -121,7 +121,7 @@
     assert [answer.request_id for answer in done] == ["r1", "r2"]
 
 
-def test_key_without_time_is_refused_permanently(pair):
+def test_invalid_key_is_refused_permanently(pair):
     (answer,) = pair.send(0, request(pair, key="order-17"))
     assert (answer.outcome, answer.final) == (m.Outcome.NOT_RUN, True)
     assert "UUID of version 7" in answer.remedy
@@ -156,7 +156,7 @@
     ("attempt", "outcome"),
     [(1, m.Outcome.NOT_RUN), (0, m.Outcome.MAY_HAVE_RUN), (2, m.Outcome.MAY_HAVE_RUN)],
 )
-def test_request_for_a_dead_owner_is_not_run_only_on_a_first_attempt(
+def test_request_for_an_unreachable_owner_is_not_run_only_on_a_first_attempt(
     pair, attempt, outcome
 ):
     slot = slots_of(pair, 1)[0]
@@ -168,7 +168,7 @@
 
 def test_key_time_that_no_node_can_own_never_runs(pair):
     slot = slots_of(pair, 1)[0]
-    key = mint_key(pair.now.wall_ms + 10_000_000, slot, random.Random(1)).text
+    key = generate_key(pair.now.wall_ms + 10_000_000, slot, random.Random(1)).text
     late = Claim("x", NodeId("c", "c1"), SERVICE, 32, (slot,), NOW_MS + 20_000_000, 0)
     pair.append(attrs.evolve(late, end_ms=late.start_ms + 1000))
     (answer,) = pair.send(0, request(pair, key=key))
--- a/tests/test_once_fold.py
+++ b/tests/test_once_fold.py
@@ -127,7 +127,7 @@
     assert fold.state(SLOT).last.node == A
 
 
-def test_extension_of_a_former_owner_is_refused():
+def test_extension_of_a_former_owner_is_ignored():
     records = [
         Claim("x", A, SERVICE, 1, (0,), 0, 100),
         Claim("y", B, SERVICE, 1, (0,), 100, 200),
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 512, 0])
-def test_claim_with_an_unusable_slot_count_is_refused(count):
+def test_claim_with_an_invalid_slot_count_is_ignored(count):
     assert fold_of([Claim("x", A, SERVICE, count, (0,), 0, 100)]).states == {}
 
 
--- a/tests/test_once_histories.py
+++ b/tests/test_once_histories.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from azurestep.once import slots
-from azurestep.once.accept import AcceptRole
+from azurestep.once.accept import RequestForwarder
 from azurestep.once.messages import Outcome
 from azurestep.once.owner import OwnerRole
 from azurestep.once.table import KeyTable
@@ -53,7 +53,7 @@
     return model.run()
 
 
-def is_violated(way, first_seed: int) -> bool:
+def violates_at_most_once(way, first_seed: int) -> bool:
     seeds = range(first_seed, first_seed + HISTORY_COUNT)
     tallies = (run(way, generate(seed)) for seed in seeds)
     return any(
@@ -71,8 +71,8 @@
     assert tally.untrue == 0
 
 
-def test_owner_in_memory_violates_the_same_histories():
-    assert is_violated(memory_owner(), first_seed=0)
+def test_owner_in_memory_violates_at_most_once():
+    assert violates_at_most_once(memory_owner(), first_seed=0)
 
 
 def accept_after_the_end(monkeypatch):
@@ -82,11 +82,11 @@
 
 
 def claim_an_owned_interval(monkeypatch):
-    claim = slots.claim
+    original = slots.claim
 
     def unguarded(state, record):
         opened = attrs.evolve(state, horizon_ms=0, intervals=())
-        added = claim(opened, record)
+        added = original(opened, record)
         if added is opened:
             return state
         return attrs.evolve(state, intervals=(*state.intervals, *added.intervals))
@@ -95,33 +95,33 @@
 
 
 def trust_a_missing_table(monkeypatch):
-    load = OwnerRole._load_table
+    original = OwnerRole._load_table
 
     def unguarded(self, slot_id, tenure):
-        load(self, slot_id, tenure)
-        tenure.complete_from_ms = tenure.start_ms
+        original(self, slot_id, tenure)
+        tenure.received_from_ms = tenure.start_ms
 
     monkeypatch.setattr(OwnerRole, "_load_table", unguarded)
 
 
 def ignore_expired_keys(monkeypatch):
-    drop = KeyTable.expire_before
+    original = KeyTable.expire_before
 
     def unguarded(self, time_ms):
-        drop(self, time_ms)
+        original(self, time_ms)
         return {}
 
     monkeypatch.setattr(KeyTable, "expire_before", unguarded)
 
 
 def accept_during_a_release(monkeypatch):
-    refusal = OwnerRole._refusal
+    original = OwnerRole._refusal
 
     def unguarded(self, request):
         for tenures in self.tenures.values():
             for tenure in tenures:
                 tenure.state = TenureState.OPEN
-        return refusal(self, request)
+        return original(self, request)
 
     monkeypatch.setattr(OwnerRole, "_refusal", unguarded)
 
@@ -130,7 +130,7 @@
     def unguarded(self, request, reason, now):
         return self._answer(request, Outcome.NOT_RUN, reason, now)
 
-    monkeypatch.setattr(AcceptRole, "refuse", unguarded)
+    monkeypatch.setattr(RequestForwarder, "refuse", unguarded)
 
 
 @pytest.mark.parametrize(
@@ -145,6 +145,6 @@
     ],
 )
 def test_histories_catch_a_removed_guard(monkeypatch, remove_guard, first_seed):
-    assert not is_violated(owned_intervals(), first_seed)
+    assert not violates_at_most_once(owned_intervals(), first_seed)
     remove_guard(monkeypatch)
-    assert is_violated(owned_intervals(), first_seed)
+    assert violates_at_most_once(owned_intervals(), first_seed)
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -89,7 +89,7 @@
 from azurestep.once import records as ownership
 from azurestep.once.assignment import preferred_owner
 from azurestep.once.fold import SlotId
-from azurestep.once.key import mint_key, parse_key
+from azurestep.once.key import generate_key, parse_key
 from azurestep.once.settings import KEY_SCOPE
 from azurestep.once.table import digest_of
 from azurestep.operations import audit_reader, defaults
@@ -570,7 +570,7 @@
 
 
 def test_idempotency_key() -> None:
-    key = mint_key(1_718_360_049_300, 0x91, Random(1))
+    key = generate_key(1_718_360_049_300, 0x91, Random(1))
     check("minted_key", attrs.astuple(key))
     parsed = parse_key("0190163D-8694-739B-AEA5-966C26F8AD91").unwrap()
     check("parsed_key", [*attrs.astuple(parsed), parsed.slot(64)])
--- a/tests/test_validate.py
+++ b/tests/test_validate.py
@@ -81,13 +81,13 @@
 
 
 @pytest.mark.parametrize("cut", range(0, 1000, 37))
-def test_truncated_configuration_is_refused(cut: int) -> None:
+def test_truncated_configuration_is_rejected(cut: int) -> None:
     result = read_document(EXAMPLE.read_bytes()[:cut])
     assert isinstance(result, Failure)
     assert_told(result)
 
 
-def test_entry_with_another_name_than_its_key_is_refused() -> None:
+def test_entry_with_another_name_than_its_key_is_rejected() -> None:
     document = document_from_dict(orjson.loads(EXAMPLE.read_bytes()))
     body = document.entries[EntryKey(Section.SERVICES, "catalogue")]
     hidden = document.with_changes({EntryKey(Section.SERVICES, "other"): body}, [])
@@ -95,7 +95,7 @@
     assert isinstance(validate(hidden), Failure)
 
 
-def test_unknown_fields_are_kept_on_the_log_and_refused_in_a_file() -> None:
+def test_unknown_fields_are_kept_on_the_log_and_rejected_in_a_file() -> None:
     plain = orjson.loads(EXAMPLE.read_bytes())
     plain["routes"][0]["colour"] = "red"
     assert isinstance(validate(document_from_dict(plain)), Success)
