--- a/azurestep/config/fold.py
+++ b/azurestep/config/fold.py
@@ -65,9 +65,9 @@
 class ConfigurationFold:
     """Applies records of the configuration stream in the order of the log.
 
-    A fold that starts mid-stream, or that missed records dropped by retention,
-    is *seeking*: it buffers records until it reads a checkpoint whose ``as_of``
-    leaves no gap before them, adopts it and replays the records after it.
+    A fold that missed records dropped by retention is incomplete: it buffers
+    records until it reads a checkpoint that covers the missing ones. It then
+    adopts the checkpoint and replays the buffered records after ``as_of``.
     """
 
     def __init__(self) -> None:
--- a/azurestep/config/model.py
+++ b/azurestep/config/model.py
@@ -8,7 +8,7 @@
 
 
 class Priority(StrEnum):
-    """Class of a request, which determines who waits and who is refused first."""
+    """Class of a request: decides which requests wait or are refused first."""
 
     INTERACTIVE = "interactive"
     PAYMENT = "payment"
--- a/azurestep/once/__init__.py
+++ b/azurestep/once/__init__.py
@@ -4,10 +4,11 @@
 The creation time is part of the key, so only one process can accept a key, even
 if clocks disagree.
 
-Wiring a node
+Use in a node
 -------------
 Create one ``OnceDecision`` per process, with a ``NodeId`` whose incarnation is
-a random text generated at startup, not the membership's counter. A single task
+a random text generated at startup; the membership's incarnation is a counter
+that may repeat and must not be used. A single task
 calls ``handle(message, Moment(wall_ms, monotonic_ms))`` for each input and
 carries out the returned outputs in order.
 
@@ -29,8 +30,8 @@
 ``LogRegressed``           The log's end fell below ``next_offset``.
 ``AppendDone``             An append was acknowledged.
 ``AppendFailed``           An append failed or its answer was lost.
-``MembersChanged``         The live node processes of a service changed, as this
-                           node reaches them; send it for every service.
+``MembersChanged``         The live node processes of a service that this node can
+                           reach changed. Send it for each service.
 ``LogHealth``              The log became reachable or unreachable.
 ``Tick``                   Every 100 to 1000 ms.
 ``StopRequested``          The node shuts down; continue until ``Stopped``.
--- a/azurestep/once/accept.py
+++ b/azurestep/once/accept.py
@@ -36,8 +36,9 @@
 class RequestForwarder:
     """Forwards callers' requests to the owners of their keys.
 
-    Answers "not run" only if the key can't have been accepted, or if the caller
-    declared this copy as the only one and no byte of it was sent.
+    Answers "not run" only if the request can't have run: the log or the owner
+    rules it out, or this copy did not run and the caller declared that there is
+    no other copy.
     """
 
     node: NodeId
@@ -65,7 +66,7 @@
         )
 
     def generate_key(self, service: str, now: Moment) -> IdempotencyKey:
-        """Create a key, preferably for an open slot of this node."""
+        """Generate a key, preferably for an open slot of this node."""
         open_slots = self.open_slots(service, now)
         own = [
             slot
@@ -101,7 +102,7 @@
     def refuse(
         self, request: RequestArrived, reason: Reason, now: Moment
     ) -> AnswerCaller:
-        """Refuse a request; this copy of it did not run."""
+        """Refuse a request of which this copy did not run."""
         is_first = request.attempt == FIRST_ATTEMPT
         outcome = Outcome.NOT_RUN if is_first else Outcome.MAY_HAVE_RUN
         return self._answer(request, outcome, reason, now)
--- a/azurestep/once/checkpoints.py
+++ b/azurestep/once/checkpoints.py
@@ -41,6 +41,7 @@
         owners = {
             state.last.node for state in fold.states.values() if state.last is not None
         }
+        # Input of the ranking's hash only; there is no such slot.
         ranking_key = SlotId("checkpoint", fold.checkpoint_as_of)
         position = rank(ranking_key, self.node, owners)
         if self.node not in owners:
--- a/azurestep/once/fold.py
+++ b/azurestep/once/fold.py
@@ -108,7 +108,7 @@
         return self.states.get(slot_id) or SlotState(self.horizon_ms)
 
     def is_gap(self, slot_id: SlotId, time_ms: int) -> bool:
-        """Return whether no node can ever have run or run a key of this time."""
+        """Return whether no key of this time has run or can run."""
         return self.complete and self.state(slot_id).is_gap(time_ms)
 
     def checkpoint(self, record_id: str) -> Checkpoint:
--- a/azurestep/once/key.py
+++ b/azurestep/once/key.py
@@ -68,7 +68,7 @@
 
 
 def generate_key(now_ms: int, last_byte: int, source: random.Random) -> IdempotencyKey:
-    """Create a key with a given time and last byte, random otherwise."""
+    """Generate a key with a given time and last byte, random otherwise."""
     value = (now_ms & TIME_MASK) << TIME_SHIFT_BITS
     value |= VERSION_BITS | VARIANT_BITS
     value |= source.getrandbits(RANDOM_A_BITS) << 64
--- a/azurestep/once/messages.py
+++ b/azurestep/once/messages.py
@@ -62,7 +62,8 @@
     request_id : str
         Globally unique id, never reused.
     service : str
-        Service of the route without presets, so that a key keeps its owner.
+        Service of the route before presets are applied, so that a key has the
+        same owner under every preset.
     key : str
         Value of ``Idempotency-Key``; empty if absent.
     fingerprint : str
@@ -70,7 +71,7 @@
     attempt : int
         Value of ``Azurestep-Attempt``; 0 if absent. With 1 the caller declares
         that every earlier copy was answered "not run", and that it sends no
-        other before it has the answer or has closed the connection.
+        other copy before it has the answer or has closed the connection.
     remaining_ms : int
         Time left until the caller's deadline.
     """
@@ -98,7 +99,7 @@
     Attributes
     ----------
     bytes_sent : bool
-        Whether any part was sent or may still be sent.
+        Whether the owner may have received the request, or may still receive it.
     """
 
     request_id: str
@@ -269,11 +270,11 @@
     key : str
         Key of the request, generated if the caller sent none.
     final : bool
-        Whether no request with this key will ever run. Otherwise "not run" is
-        about this copy only: resending with the same key is always safe, with a
-        new key only once every copy was answered "not run".
+        Whether no request with this key will ever run. If false, "not run"
+        applies to this copy only. It is always safe to resend with the same key.
+        A new key is safe once every copy was answered "not run".
     open_slots : tuple of int
-        Slots with reachable owners, for ``Azurestep-Open-Slots``.
+        Slots that accept a key created now, for ``Azurestep-Open-Slots``.
     slot_count : int
         Number of slots of the service.
     """
--- a/azurestep/once/owner.py
+++ b/azurestep/once/owner.py
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class AddressedAnswer:
-    """An owner's answer; the receiver is None for a caller of this node."""
+    """An owner's answer and its receiver, None for a caller of this node."""
 
     receiver: NodeId | None
     key: str
@@ -171,7 +171,11 @@
         return [self.refuse(request, reason)]
 
     def refuse(self, request: OwnerRequest, reason: Reason) -> AddressedAnswer:
-        """Return the refusal of a request that this node did not accept."""
+        """Refuse a request that this node did not run.
+
+        The outcome is "not run" only if the reason implies that the table holds
+        every accepted key of this time.
+        """
         is_proven = reason in PROVEN_NOT_RUN
         outcome = Outcome.NOT_RUN if is_proven else Outcome.MAY_HAVE_RUN
         return self._answer(request, outcome, reason)
--- a/azurestep/once/peers.py
+++ b/azurestep/once/peers.py
@@ -70,7 +70,13 @@
 
 @attrs.frozen
 class TrustedSlot:
-    """Key time from which on a table holds every accepted key of a slot."""
+    """A slot in a table transfer.
+
+    Attributes
+    ----------
+    trusted_from_ms : int
+        Key time from which on the table holds every accepted key of the slot.
+    """
 
     slot: int
     trusted_from_ms: int
--- a/azurestep/once/settings.py
+++ b/azurestep/once/settings.py
@@ -3,7 +3,7 @@
 import attrs
 
 MAX_INTERVAL_MS = 3_600_000
-KEY_SCOPE = "fleet"
+KEY_SCOPE = "fleet"  # service name under which all services share one key space
 
 
 @attrs.frozen
@@ -17,15 +17,15 @@
         log fixes it for the lifetime of the fleet.
     ownership_interval_ms : int
         Length of an ownership interval; at most ``MAX_INTERVAL_MS``. Requests
-        keep running through a platform outage of half of it, and keys of a
-        crashed owner are answered "may have run" for at most all of it.
+        keep running during a platform outage of up to half an interval. New keys
+        of a crashed owner's slots are not accepted for up to one interval.
     extend_jitter_ratio : float
         Maximum jitter of an extension as a ratio of half an interval.
     backdate_ms : int
         How far before now a new interval may start, for callers whose clock is
         behind.
     claim_ahead_ms : int
-        How long before the end of a dead owner's interval the next is claimed.
+        How long before the end of a crashed owner's interval the next is claimed.
     settle_ms : int
         How long the membership must be unchanged before slots are reassigned.
     key_window_ms : int
--- a/azurestep/once/slots.py
+++ b/azurestep/once/slots.py
@@ -47,7 +47,7 @@
     def is_gap(self, time_ms: int) -> bool:
         """Return whether no node owns this key time or ever can.
 
-        Later records can't change True to False, so an outdated state suffices.
+        No later record lets a node own this time, so the state may be outdated.
         """
         if not self.horizon_ms <= time_ms < self.last_end_ms:
             return False
--- a/azurestep/once/table.py
+++ b/azurestep/once/table.py
@@ -31,7 +31,7 @@
     """State and answer of each accepted key.
 
     A key is removed only if it did not run, or by ``expire_before``, which
-    returns the key times for which the table is still complete.
+    returns the key times from which on the table still holds every accepted key.
     """
 
     settings: OnceSettings
@@ -83,7 +83,7 @@
         -------
         dict of SlotId to int
             For each slot with a removed key, the key time from which on the
-            table is still complete.
+            table still holds every accepted key.
         """
         trusted_from_ms: dict[SlotId, int] = {}
         running = []
--- a/azurestep/once/tenure.py
+++ b/azurestep/once/tenure.py
@@ -1,4 +1,4 @@
-"""Tenures: the intervals that this node owns."""
+"""State that an owner keeps for each of its intervals."""
 
 from enum import StrEnum
 
@@ -15,7 +15,7 @@
 
 @attrs.define
 class Tenure:
-    """An interval that this node owns, as read back from the log.
+    """An interval that this node owns, with what it accepted and expired.
 
     Attributes
     ----------
--- a/tests/fixtures_fold.py
+++ b/tests/fixtures_fold.py
@@ -1,3 +1,5 @@
+"""Configuration changes and an in-memory log for tests of the fold."""
+
 import orjson
 import pytest
 
--- a/tests/test_once_former_run.py
+++ b/tests/test_once_former_run.py
@@ -1,3 +1,5 @@
+"""Requests for an earlier process of an instance are answered "not owner"."""
+
 import asyncio
 
 import pytest
--- a/tests/test_once_histories.py
+++ b/tests/test_once_histories.py
@@ -1,4 +1,4 @@
-"""Random faults never run a payment twice, and removed guards are detected."""
+"""No payment runs twice under random faults; each removed check is detected."""
 
 from random import Random
 
--- a/tests/test_once_ownership.py
+++ b/tests/test_once_ownership.py
@@ -1,3 +1,5 @@
+"""No key is accepted by two owners of a slot, also after late records."""
+
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
