--- a/bench/once_fleet.py
+++ b/bench/once_fleet.py
@@ -114,7 +114,7 @@
 
     async def _wait_until_open(self, url: str, slot: int) -> None:
         while True:
-            copy = self.caller.mint((slot,))
+            copy = self.caller.new_copy((slot,))
             answer = await self.caller.send(url, copy)
             if answer.outcome == Outcome.RAN:
                 return
--- a/bench/once_live.py
+++ b/bench/once_live.py
@@ -137,7 +137,7 @@
         self._host = host
         self._source = source
 
-    def mint(self, slots: tuple[int, ...] = ANY_SLOT) -> Copy:
+    def new_copy(self, slots: tuple[int, ...] = ANY_SLOT) -> Copy:
         """Return the first copy of a payment in one of some slots."""
         slot = self._source.choice(slots)
         return Copy(generate_key(now_ms(), slot, self._source).text)
@@ -163,7 +163,7 @@
         started_s = time.perf_counter()
         payment = Payment((started_s - zero_s) * 1000)
         self.payments.append(payment)
-        copy: Copy | None = self.mint()
+        copy: Copy | None = self.new_copy()
         while copy is not None:
             if copy.key not in payment.keys:
                 payment.keys.append(copy.key)
--- a/bench/payments.py
+++ b/bench/payments.py
@@ -132,7 +132,7 @@
     ) -> Timed:
         if slots is None:
             return await self._time_idempotent(node)
-        copy = self.caller.mint(slots)
+        copy = self.caller.new_copy(slots)
         answer = await self.caller.send(node.traffic_url, copy)
         is_served = answer.outcome == Outcome.RAN
         return Timed(way, answer.server, answer.elapsed_ms, is_served)
