--- a/bench/once_live.py
+++ b/bench/once_live.py
@@ -9,7 +9,7 @@
 import attrs
 import orjson
 
-from azurestep.once.key import mint_key, parse_key
+from azurestep.once.key import generate_key, parse_key
 from azurestep.once.messages import Outcome
 from azurestep.traffic import headers
 
@@ -112,7 +112,7 @@
     is_not_run = answer.outcome == Outcome.NOT_RUN
     if answer.is_final or (is_not_run and last.attempt == 1):
         slot = source.choice(answer.open_slots or ANY_SLOT)
-        return Copy(mint_key(now_ms, slot, source).text)
+        return Copy(generate_key(now_ms, slot, source).text)
     return Copy(last.key, last.attempt + 1)
 
 
@@ -137,10 +137,10 @@
         self._host = host
         self._source = source
 
-    def mint(self, slots: tuple[int, ...] = ANY_SLOT) -> Copy:
+    def new_copy(self, slots: tuple[int, ...] = ANY_SLOT) -> Copy:
         """Return the first copy of a payment in one of some slots."""
         slot = self._source.choice(slots)
-        return Copy(mint_key(now_ms(), slot, self._source).text)
+        return Copy(generate_key(now_ms(), slot, self._source).text)
 
     async def send(self, url: str, copy: Copy) -> Answer:
         """Send one copy and read its answer."""
@@ -163,7 +163,7 @@
         started_s = time.perf_counter()
         payment = Payment((started_s - zero_s) * 1000)
         self.payments.append(payment)
-        copy: Copy | None = self.mint()
+        copy: Copy | None = self.new_copy()
         while copy is not None:
             if copy.key not in payment.keys:
                 payment.keys.append(copy.key)
