--- a/azurestep/balancing/__init__.py
+++ b/azurestep/balancing/__init__.py
@@ -9,9 +9,9 @@
 1. Keep one ``Admission``, one ``RetryBudget`` and one ``Quarantine``. Pass the
    backend servers to ``Admission.replace_endpoints`` on each change, a new
    configuration to ``configure`` and load reports to ``report``.
-2. On arrival compute ``limit_budget``; answer "not run" if it is ``expired`` or
+2. On arrival compute ``budget_on_arrival``; answer "not run" if it is ``expired`` or
    ``too_deep``. For a request that the caller sends again call
-   ``RetryBudget.spend`` and refuse with ``RETRY_BUDGET`` if it returns false; for
+   ``RetryBudget.try_spend`` and refuse with ``RETRY_BUDGET`` if it returns false; for
    any other request call ``RetryBudget.earn``.
 3. If ``Quarantine.active``, compute the ``fingerprint`` and call ``status_of``. Refuse
    ``REFUSED``; for ``SUSPECT`` add ``servers_with_suspects`` to ``avoid`` and never
@@ -21,15 +21,15 @@
    of a ``Queued`` is returned in a ``Granted`` or ``Dropped`` by a later ``finish``,
    ``cancel``, ``tick``, ``configure`` or ``replace_endpoints``. Call ``tick`` at
    ``next_tick_ms`` or every 50 ms.
-5. Send with ``reduce_budget``. Call ``finish`` exactly once for every ``Admitted``
-   or ``Granted``, after the whole answer was sent; its ``latency_ms`` is the time
-   to the first byte of the answer.
+5. Send with ``budget_for_next_hop``. Call ``finish`` exactly once for every
+   ``Admitted`` or ``Granted``, after the whole answer was sent; its ``latency_ms`` is
+   the time to the first byte of the answer.
 6. After a failure call ``finish``, then ``decide_retry``. For ``Retry`` call
    ``Admission.request`` again with the tried keys in ``avoid``. For ``ProbeFirst``
    connect once to the same address, call the quarantine's ``record_death`` or
-   ``record_alive``, and call ``decide_retry`` again with ``server_died`` set.
-   ``GiveUp.mark_final`` sets the ``Azurestep-Retried`` header of the answer;
-   set ``marked_final`` if a backend server's answer has this header.
+   ``record_alive``, and call ``decide_retry`` again with ``server_crashed`` set.
+   ``GiveUp.forbids_retry`` sets the ``Azurestep-Retried`` header of the answer;
+   set ``retried_upstream`` if a backend server's answer has this header.
 7. After a truncated body call ``decide_resumption``, and check the head of a
    resumed answer with ``is_continuation``. Never end a body as complete unless
    ``is_whole`` returns true.
@@ -44,11 +44,11 @@
 >>> key = EndpointKey("127.0.0.1", 8001, 1)
 >>> admission.replace_endpoints([Endpoint(key, "songs", "i2", "dc1", 12)], 0.0)
 []
->>> request = RequestArrived(Priority.INTERACTIVE, now_ms=1.0, deadline_ms=500.0)
+>>> request = AdmissionRequest(Priority.INTERACTIVE, now_ms=1.0, deadline_ms=500.0)
 >>> decision = admission.request(request)
 >>> decision.endpoint.key == key
 True
->>> admission.finish(decision.ticket, Outcome(OutcomeKind.SUCCESS, 5.0), 6.0)
+>>> admission.finish(decision.ticket, AttemptOutcome(OutcomeKind.SUCCESS, 5.0), 6.0)
 []
 """
 
@@ -61,23 +61,23 @@
 )
 from .admission import Admission
 from .choice import Balancer
-from .deadlines import DeadlineBudget, limit_budget, reduce_budget
+from .deadlines import DeadlineBudget, budget_for_next_hop, budget_on_arrival
 from .limiter import LimiterKind
 from .messages import (
+    AdmissionDecision,
+    AdmissionRequest,
     Admitted,
-    Decision,
+    AttemptOutcome,
     Dropped,
     Endpoint,
     EndpointKey,
     Granted,
     LoadReport,
-    Outcome,
     OutcomeKind,
     Queued,
+    QueueResult,
     RefusalReason,
     Refused,
-    Release,
-    RequestArrived,
     Ticket,
     TicketState,
 )
@@ -111,7 +111,7 @@
     "Balancer",
     "DeadlineBudget",
     "TruncatedAnswer",
-    "Decision",
+    "AdmissionDecision",
     "Discipline",
     "Dropped",
     "Endpoint",
@@ -122,7 +122,7 @@
     "Granted",
     "LimiterKind",
     "LoadReport",
-    "Outcome",
+    "AttemptOutcome",
     "OutcomeKind",
     "ProbeFirst",
     "Quarantine",
@@ -130,8 +130,8 @@
     "Queued",
     "RefusalReason",
     "Refused",
-    "Release",
-    "RequestArrived",
+    "QueueResult",
+    "AdmissionRequest",
     "Resume",
     "ResumedAnswer",
     "Retry",
@@ -146,6 +146,6 @@
     "decide_retry",
     "fingerprint",
     "is_whole",
-    "limit_budget",
-    "reduce_budget",
+    "budget_on_arrival",
+    "budget_for_next_hop",
 ]
--- a/azurestep/balancing/admission.py
+++ b/azurestep/balancing/admission.py
@@ -8,19 +8,19 @@
 from .endpoint_state import LIMITER_OUTCOMES, EndpointState
 from .limiter import LimiterKind
 from .messages import (
+    AdmissionDecision,
+    AdmissionRequest,
     Admitted,
-    Decision,
+    AttemptOutcome,
     Dropped,
     Endpoint,
     Granted,
     LoadReport,
-    Outcome,
     OutcomeKind,
     Queued,
+    QueueResult,
     RefusalReason,
     Refused,
-    Release,
-    RequestArrived,
     Ticket,
     TicketState,
 )
@@ -45,13 +45,13 @@
         Class shares of the preset in force.
     data_centre, instance : str
         Where this node runs.
-    source : random.Random
+    rng : random.Random
         Random number generator for the choices and the jitter.
     limiter : LimiterKind or None
         How concurrency limits adapt; None follows the service's rule.
     discipline : Discipline
         Order of the queues.
-    throttled : bool
+    allow_throttle : bool
         Whether a share of the requests to an adaptive service is shed while its
         concurrency limits aren't binding.
     """
@@ -62,22 +62,22 @@
         shares: ClassShares,
         data_centre: str,
         instance: str,
-        source: random.Random,
+        rng: random.Random,
         *,
         limiter: LimiterKind | None = None,
         discipline: Discipline = Discipline.CONTROLLED_DELAY,
-        throttled: bool = True,
+        allow_throttle: bool = True,
     ) -> None:
         self._service = service
         self._shares = shares
-        self._source = source
-        self._balancer = Balancer(service, data_centre, instance, source, limiter)
+        self._rng = rng
+        self._balancer = Balancer(service, data_centre, instance, rng, limiter)
         self._queues = ClassQueues(discipline)
         self._completions = RateMeter()
         self._latency = SmoothedMean()
         self._throttle = Throttle()
-        self._may_throttle = throttled
-        self._throttled = service.limits.adaptive and throttled
+        self._throttle_allowed = allow_throttle
+        self._throttle_enabled = service.limits.adaptive and allow_throttle
 
     @property
     def balancer(self) -> Balancer:
@@ -100,17 +100,17 @@
 
     def configure(
         self, service: Service, shares: ClassShares, now_ms: float
-    ) -> list[Release]:
+    ) -> list[QueueResult]:
         """Apply the rules of another configuration version or preset."""
         self._service = service
         self._shares = shares
-        self._throttled = service.limits.adaptive and self._may_throttle
+        self._throttle_enabled = service.limits.adaptive and self._throttle_allowed
         self._balancer.configure(service, now_ms)
         return self.tick(now_ms)
 
     def replace_endpoints(
         self, endpoints: Iterable[Endpoint], now_ms: float
-    ) -> list[Release]:
+    ) -> list[QueueResult]:
         """Replace the backend servers of the service."""
         self._balancer.replace(endpoints, now_ms)
         return self.tick(now_ms)
@@ -119,16 +119,16 @@
         """Apply a backend server's load report to its weight."""
         self._balancer.report(report)
 
-    def request(self, request: RequestArrived) -> Decision:
+    def request(self, request: AdmissionRequest) -> AdmissionDecision:
         """Admit, queue or refuse a request or a further attempt at one."""
         now_ms = request.now_ms
-        self._balancer.review(now_ms)
+        self._balancer.run_health_checks(now_ms)
         if now_ms >= request.deadline_ms:
             return self._refuse(RefusalReason.DEADLINE, now_ms)
         queue = self._queues.queue(request.priority)
         if not self._class_is_open(queue):
             return self._refuse(RefusalReason.CLASS_CLOSED, now_ms)
-        if self._throttled and not self._passes_throttle(request):
+        if self._throttle_enabled and not self._passes_throttle(request):
             return self._refuse(RefusalReason.OVERLOAD, now_ms)
         if self._must_wait(queue):
             return self._enqueue(request, queue)
@@ -139,8 +139,8 @@
         self._start(ticket, queue, state)
         return Admitted(ticket, state.endpoint)
 
-    def _passes_throttle(self, request: RequestArrived) -> bool:
-        random_value = self._source.random()
+    def _passes_throttle(self, request: AdmissionRequest) -> bool:
+        random_value = self._rng.random()
         return self._throttle.admits(request.priority, request.now_ms, random_value)
 
     def _class_is_open(self, queue: ClassQueue) -> bool:
@@ -157,7 +157,9 @@
             return False
         return queue.in_flight < max(1.0, share * self._balancer.capacity)
 
-    def _enqueue(self, request: RequestArrived, queue: ClassQueue) -> Queued | Refused:
+    def _enqueue(
+        self, request: AdmissionRequest, queue: ClassQueue
+    ) -> Queued | Refused:
         now_ms = request.now_ms
         if not self._balancer.has_endpoints():
             return self._refuse(RefusalReason.NO_ENDPOINT, now_ms)
@@ -188,7 +190,7 @@
         if not is_closed and completions_per_ms >= MIN_COMPLETIONS_PER_MS:
             base_ms = (self._queues.waiting() + 1) / completions_per_ms
         base_ms = max(MIN_RETRY_AFTER_MS, min(MAX_RETRY_AFTER_MS, base_ms))
-        return base_ms * (0.5 + self._source.random())
+        return base_ms * (0.5 + self._rng.random())
 
     def _start(self, ticket: Ticket, queue: ClassQueue, state: EndpointState) -> None:
         ticket.state = TicketState.GRANTED
@@ -196,7 +198,9 @@
         queue.in_flight += 1
         self._balancer.start(state)
 
-    def finish(self, ticket: Ticket, outcome: Outcome, now_ms: float) -> list[Release]:
+    def finish(
+        self, ticket: Ticket, outcome: AttemptOutcome, now_ms: float
+    ) -> list[QueueResult]:
         """Free the slot of an attempt and record its outcome.
 
         A ticket that already ended is ignored, so that a late answer can't free
@@ -207,53 +211,53 @@
         ticket.state = TicketState.DONE
         self._queues.queue(ticket.request.priority).in_flight -= 1
         self._record_outcome(ticket.endpoint, outcome, now_ms)
-        return self._release(now_ms)
+        return self._serve_queues(now_ms)
 
     def _record_outcome(
-        self, endpoint: Endpoint, outcome: Outcome, now_ms: float
+        self, endpoint: Endpoint, outcome: AttemptOutcome, now_ms: float
     ) -> None:
         self._balancer.finish(endpoint, outcome, now_ms)
         if outcome.kind in LIMITER_OUTCOMES and self._throttle.record(outcome, now_ms):
-            self._throttle.update_ratio(self._balancer.limits_binding(), now_ms)
+            self._throttle.update_ratio(self._balancer.limits_are_effective(), now_ms)
         if outcome.kind is not OutcomeKind.CANCELLED:
             self._completions.add(now_ms)
         if outcome.kind is OutcomeKind.SUCCESS:
             self._latency.add(outcome.latency_ms)
 
-    def cancel(self, ticket: Ticket, now_ms: float) -> list[Release]:
+    def cancel(self, ticket: Ticket, now_ms: float) -> list[QueueResult]:
         """Remove a queued request whose caller disconnected."""
         if ticket.state is TicketState.QUEUED:
             self._queues.queue(ticket.request.priority).remove(ticket, dropped=False)
-        return self._release(now_ms)
+        return self._serve_queues(now_ms)
 
-    def tick(self, now_ms: float) -> list[Release]:
+    def tick(self, now_ms: float) -> list[QueueResult]:
         """Drop expired requests and grant free slots to queued ones."""
-        self._balancer.review(now_ms)
-        return self._release(now_ms)
+        self._balancer.run_health_checks(now_ms)
+        return self._serve_queues(now_ms)
 
     def next_tick_ms(self) -> float | None:
         """Return the time by which ``tick`` must be called, or None."""
         return self._queues.next_expiry_ms()
 
-    def _release(self, now_ms: float) -> list[Release]:
-        releases: list[Release] = []
+    def _serve_queues(self, now_ms: float) -> list[QueueResult]:
+        results: list[QueueResult] = []
         for ticket in self._queues.expired(now_ms):
-            releases.append(self._drop(ticket, now_ms))
+            results.append(self._drop(ticket, now_ms))
         if self._queues.waiting():
-            self._grant_all(releases, now_ms)
-        return releases
+            self._grant_all(results, now_ms)
+        return results
 
     def _drop(self, ticket: Ticket, now_ms: float) -> Dropped:
         late = ticket.request.deadline_ms - self.expected_ms <= now_ms
         reason = RefusalReason.DEADLINE if late else RefusalReason.QUEUE_TIMEOUT
         return Dropped(ticket, reason, self.retry_after_ms(reason, now_ms))
 
-    def _grant_all(self, releases: list[Release], now_ms: float) -> None:
+    def _grant_all(self, results: list[QueueResult], now_ms: float) -> None:
         while True:
             granted = self._grant_one(now_ms)
             if granted is None:
                 return
-            releases.append(granted)
+            results.append(granted)
 
     def _grant_one(self, now_ms: float) -> Granted | None:
         for queue in self._queues.in_serving_order(self._shares):
--- a/azurestep/balancing/choice.py
+++ b/azurestep/balancing/choice.py
@@ -7,11 +7,11 @@
 from .ejection import OutlierDetector
 from .endpoint_state import DataCentrePool, EndpointState
 from .limiter import LimiterKind, make_limiter
-from .messages import Endpoint, EndpointKey, LoadReport, Outcome
+from .messages import AttemptOutcome, Endpoint, EndpointKey, LoadReport
 
-REVIEW_INTERVAL_MS = 250.0
+HEALTH_CHECK_INTERVAL_MS = 250.0
 MAX_LOCAL_UTILISATION = 0.25
-MIN_BINDING_UTILISATION = 0.5
+MIN_EFFECTIVE_UTILISATION = 0.5
 MIN_MEAN_LIMIT = 2.0
 MAX_LOCAL_LATENCY_RATIO = 1.5
 REPORTED_LOAD_WEIGHT = 0.3
@@ -23,7 +23,7 @@
 
     The choice takes constant time: the better of two random backend servers that
     are eligible and have a free slot. ``review`` does what needs all of them, at
-    most every ``REVIEW_INTERVAL_MS``.
+    most every ``HEALTH_CHECK_INTERVAL_MS``.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
         Rules of the service.
     data_centre, instance : str
         Where this node runs.
-    source : random.Random
+    rng : random.Random
         Random number generator for the choices.
     limiter : LimiterKind or None
         How concurrency limits adapt; None follows the service's rule.
@@ -42,13 +42,13 @@
         service: Service,
         data_centre: str,
         instance: str,
-        source: random.Random,
+        rng: random.Random,
         limiter: LimiterKind | None = None,
     ) -> None:
         self._service = service
         self._data_centre = data_centre
         self._instance = instance
-        self._source = source
+        self._rng = rng
         adaptive = LimiterKind.AIMD if service.limits.adaptive else None
         self._limiter = limiter or adaptive or LimiterKind.FIXED
         self._detector = OutlierDetector(service.selection)
@@ -57,7 +57,7 @@
         self._local_pool = DataCentrePool(data_centre)
         self._remote_pools: list[DataCentrePool] = []
         self._local_server: EndpointState | None = None
-        self._next_review_ms = float("-inf")
+        self._next_health_check_ms = float("-inf")
 
     @property
     def capacity(self) -> float:
@@ -71,12 +71,12 @@
         """Backend servers by data centre, the local one first."""
         return [self._local_pool, *self._remote_pools]
 
-    def limits_binding(self) -> bool:
+    def limits_are_effective(self) -> bool:
         """Return whether the concurrency limits are in use and can still fall."""
         capacity = self.capacity
         in_flight = sum(pool.total_in_flight for pool in self.pools)
         can_fall = capacity >= MIN_MEAN_LIMIT * len(self._states)
-        return can_fall and in_flight >= MIN_BINDING_UTILISATION * capacity
+        return can_fall and in_flight >= MIN_EFFECTIVE_UTILISATION * capacity
 
     def has_endpoints(self) -> bool:
         """Return whether any backend server isn't leaving."""
@@ -99,15 +99,15 @@
             state.endpoint = endpoint
             self._states[endpoint.key] = state
         self._group_by_data_centre()
-        self._next_review_ms = float("-inf")
-        self.review(now_ms)
+        self._next_health_check_ms = float("-inf")
+        self.run_health_checks(now_ms)
 
     def _make_state(
         self, endpoint: Endpoint, previous: EndpointState | None
     ) -> EndpointState:
         slots = max(1, min(endpoint.slots, self._service.limits.slots))
         limiter = make_limiter(self._limiter, slots)
-        state = EndpointState(endpoint, limiter, ramp_start_ms=endpoint.announced_ms)
+        state = EndpointState(endpoint, limiter, ramp_start_ms=endpoint.first_seen_ms)
         if previous is not None:
             state.in_flight = previous.in_flight
         return state
@@ -142,18 +142,18 @@
             state.report_weight *= UNHEALTHY_WEIGHT
         state.update_weight()
 
-    def review(self, now_ms: float) -> None:
+    def run_health_checks(self, now_ms: float) -> None:
         """Eject and restore backend servers and update their ramps, if due."""
-        if now_ms < self._next_review_ms:
+        if now_ms < self._next_health_check_ms:
             return
-        self._next_review_ms = now_ms + REVIEW_INTERVAL_MS
+        self._next_health_check_ms = now_ms + HEALTH_CHECK_INTERVAL_MS
         states = list(self._states.values())
         self._detector.restore(states, now_ms)
         for state in self._detector.find_outliers(states):
             self._detector.eject(state, states, now_ms)
         for state in states:
             self._detector.decay_ejections(state, now_ms)
-            state.decay_penalties(self._detector.peer_latency_ms)
+            state.recover_statistics(self._detector.peer_latency_ms)
             self._ramp(state, now_ms)
         for pool in self.pools:
             pool.rebuild()
@@ -184,7 +184,7 @@
             and local_server.key not in avoid
         ):
             return local_server
-        local = self._local_pool.pick(self._source, avoid)
+        local = self._local_pool.pick(self._rng, avoid)
         if not self._remote_pools:
             return local
         local_utilisation = self._local_pool.utilisation()
@@ -204,7 +204,7 @@
         if local_server.in_flight >= MAX_LOCAL_UTILISATION * local_server.limiter.limit:
             return False
         peers = self._local_pool.available
-        peer = peers[int(self._source.random() * len(peers))]
+        peer = peers[int(self._rng.random() * len(peers))]
         return local_server.latency_ms <= MAX_LOCAL_LATENCY_RATIO * peer.latency_ms or (
             peer.latency_ms == 0.0
         )
@@ -220,7 +220,7 @@
         for pool in sorted(self._remote_pools, key=DataCentrePool.utilisation):
             if pool.utilisation() >= local_utilisation:
                 return local
-            remote = pool.pick(self._source, avoid)
+            remote = pool.pick(self._rng, avoid)
             if remote is not None:
                 return remote
         return local
@@ -233,7 +233,9 @@
             pool.total_in_flight += 1
         pool.update_availability(state)
 
-    def finish(self, endpoint: Endpoint, outcome: Outcome, now_ms: float) -> None:
+    def finish(
+        self, endpoint: Endpoint, outcome: AttemptOutcome, now_ms: float
+    ) -> None:
         """Count an attempt as ended, record its outcome and eject if due."""
         state = self._states.get(endpoint.key)
         if state is None:
--- a/azurestep/balancing/deadlines.py
+++ b/azurestep/balancing/deadlines.py
@@ -32,7 +32,7 @@
         return self.depth > MAX_DEPTH
 
 
-def limit_budget(
+def budget_on_arrival(
     remaining_ms: float | None, depth: int, timeout_ms: float
 ) -> DeadlineBudget:
     """Return the budget of a request at its arrival.
@@ -48,9 +48,9 @@
 
     Examples
     --------
-    >>> limit_budget(None, 0, 2000.0)
+    >>> budget_on_arrival(None, 0, 2000.0)
     DeadlineBudget(remaining_ms=2000.0, depth=0)
-    >>> limit_budget(300.0, 2, 2000.0)
+    >>> budget_on_arrival(300.0, 2, 2000.0)
     DeadlineBudget(remaining_ms=300.0, depth=2)
     """
     if remaining_ms is None:
@@ -58,7 +58,7 @@
     return DeadlineBudget(min(remaining_ms, timeout_ms), depth)
 
 
-def reduce_budget(
+def budget_for_next_hop(
     budget: DeadlineBudget, spent_ms: float, allowance_ms: float = HOP_ALLOWANCE_MS
 ) -> DeadlineBudget:
     """Return the budget of the call to the next hop.
@@ -68,7 +68,7 @@
 
     Examples
     --------
-    >>> reduce_budget(DeadlineBudget(300.0, 2), 48.0)
+    >>> budget_for_next_hop(DeadlineBudget(300.0, 2), 48.0)
     DeadlineBudget(remaining_ms=250.0, depth=3)
     """
     remaining_ms = budget.remaining_ms - spent_ms - allowance_ms
--- a/azurestep/balancing/endpoint_state.py
+++ b/azurestep/balancing/endpoint_state.py
@@ -5,13 +5,13 @@
 import attrs
 
 from .limiter import Limiter
-from .messages import Endpoint, EndpointKey, Outcome, OutcomeKind
+from .messages import AttemptOutcome, Endpoint, EndpointKey, OutcomeKind
 
 SMOOTHING_GAIN = 0.1
 MIN_WEIGHT = 0.02
 GOOD_SUCCESS_RATIO = 0.95
 PENALTY_DECAY = 0.05
-FASTER_LATENCY_RATIO = 1.5
+TIE_LATENCY_RATIO = 1.5
 LIMITER_OUTCOMES = frozenset(
     {OutcomeKind.SUCCESS, OutcomeKind.TIMEOUT, OutcomeKind.SHED}
 )
@@ -91,7 +91,7 @@
         share = self.ramp * success * success * self.report_weight
         self.weight = self.endpoint.slots * max(MIN_WEIGHT, share)
 
-    def record_outcome(self, outcome: Outcome, now_ms: float) -> None:
+    def record_outcome(self, outcome: AttemptOutcome, now_ms: float) -> None:
         """Update the statistics with the outcome of one attempt."""
         kind = outcome.kind
         if kind is OutcomeKind.CANCELLED:
@@ -112,7 +112,7 @@
             return
         self.latency_ms += SMOOTHING_GAIN * (latency_ms - self.latency_ms)
 
-    def decay_penalties(self, peer_latency_ms: float) -> None:
+    def recover_statistics(self, peer_latency_ms: float) -> None:
         """Move success ratio and latency back towards normal, once per review.
 
         Otherwise a backend server without requests would keep a bad record.
@@ -186,7 +186,7 @@
         return self.total_in_flight / self.capacity
 
     def pick(
-        self, source: random.Random, avoid: tuple[EndpointKey, ...]
+        self, rng: random.Random, avoid: tuple[EndpointKey, ...]
     ) -> EndpointState | None:
         """Return the less loaded of two random available members."""
         available = self.available
@@ -194,26 +194,26 @@
         if count == 0:
             return None
         if avoid:
-            return self._pick_other(source, avoid)
+            return self._pick_other(rng, avoid)
         if count == 1:
             return available[0]
-        return _pick_of_two(available, source)
+        return _pick_of_two(available, rng)
 
     def _pick_other(
-        self, source: random.Random, avoid: tuple[EndpointKey, ...]
+        self, rng: random.Random, avoid: tuple[EndpointKey, ...]
     ) -> EndpointState | None:
         others = [state for state in self.available if state.key not in avoid]
         if not others:
             return None
         if len(others) == 1:
             return others[0]
-        return _pick_of_two(others, source)
+        return _pick_of_two(others, rng)
 
 
-def _pick_of_two(states: list[EndpointState], source: random.Random) -> EndpointState:
+def _pick_of_two(states: list[EndpointState], rng: random.Random) -> EndpointState:
     count = len(states)
-    first = int(source.random() * count)
-    second = int(source.random() * (count - 1))
+    first = int(rng.random() * count)
+    second = int(rng.random() * (count - 1))
     if second >= first:
         second += 1
     one = states[first]
@@ -221,11 +221,11 @@
     one_score = (one.in_flight + 1) * other.weight
     other_score = (other.in_flight + 1) * one.weight
     if one_score == other_score:
-        return _choose_faster(one, other)
+        return _break_tie(one, other)
     return one if one_score < other_score else other
 
 
-def _choose_faster(one: EndpointState, other: EndpointState) -> EndpointState:
-    if one.latency_ms > FASTER_LATENCY_RATIO * other.latency_ms > 0.0:
+def _break_tie(one: EndpointState, other: EndpointState) -> EndpointState:
+    if one.latency_ms > TIE_LATENCY_RATIO * other.latency_ms > 0.0:
         return other
     return one
--- a/azurestep/balancing/limiter.py
+++ b/azurestep/balancing/limiter.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from .messages import Outcome, OutcomeKind
+from .messages import AttemptOutcome, OutcomeKind
 
 WINDOW_SAMPLES = 8
 MIN_WINDOW_MS = 100.0
@@ -16,7 +16,7 @@
 BASELINE_RISE_GAIN = 0.02
 SLOW_STANDARD_ERRORS = 3.0
 OVERLOAD_RATIO = 0.25
-MIN_OVERLOAD_SIGNS = 2
+MIN_OVERLOAD_EVENTS = 2
 MIN_WINDOW_SAMPLES = 2
 MIN_BASELINE_SAMPLES = 64
 DECREASE_FACTOR = 0.8
@@ -39,7 +39,7 @@
 
     limit: float
 
-    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
         """Record one finished attempt."""
         ...
 
@@ -50,7 +50,7 @@
 
     limit: float
 
-    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
         """Ignore the attempt."""
 
 
@@ -105,7 +105,7 @@
     peak_in_flight: int = 0
     started_ms: float = math.nan
 
-    def add(self, outcome: Outcome, in_flight: int, now_ms: float) -> bool:
+    def add(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> bool:
         """Add a sample; return whether the window is full."""
         sent_ms = now_ms - outcome.latency_ms
         if sent_ms < self.started_ms:
@@ -134,8 +134,10 @@
 
     def has_many_refusals(self) -> bool:
         """Return whether refusals and timeouts alone indicate an overload."""
-        signs = self.refusals + self.timeouts
-        return signs >= max(MIN_OVERLOAD_SIGNS, OVERLOAD_RATIO * self.samples)
+        overload_events = self.refusals + self.timeouts
+        return overload_events >= max(
+            MIN_OVERLOAD_EVENTS, OVERLOAD_RATIO * self.samples
+        )
 
     def mean_ms(self) -> float:
         """Return the mean latency; 0 when every sample was a refusal."""
@@ -200,7 +202,7 @@
     max_limit: float
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
-    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
         """Record one finished attempt; a full window moves the limit."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
@@ -220,7 +222,7 @@
     max_limit: float
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
-    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
         """Record one finished attempt; a full window moves the limit."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
--- a/azurestep/balancing/messages.py
+++ b/azurestep/balancing/messages.py
@@ -23,7 +23,7 @@
         What it serves and where it runs.
     slots : int
         Requests that it processes concurrently.
-    announced_ms : float
+    first_seen_ms : float
         Time at which this incarnation was first announced to this node.
     leaving : bool
         Whether it is draining; it then gets no new requests.
@@ -34,7 +34,7 @@
     instance: str
     data_centre: str
     slots: int
-    announced_ms: float = float("-inf")
+    first_seen_ms: float = float("-inf")
     leaving: bool = False
 
 
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen
-class Outcome:
+class AttemptOutcome:
     """End of an attempt.
 
     Attributes
@@ -104,7 +104,7 @@
 
 
 @attrs.frozen
-class RequestArrived:
+class AdmissionRequest:
     """A request, or a further attempt at one, that needs a backend server.
 
     Attributes
@@ -139,7 +139,7 @@
 
     Attributes
     ----------
-    request : RequestArrived
+    request : AdmissionRequest
         The request.
     state : TicketState
         Its state; only ``Admission`` changes it.
@@ -147,7 +147,7 @@
         The backend server, once granted.
     """
 
-    request: RequestArrived
+    request: AdmissionRequest
     state: TicketState = TicketState.QUEUED
     endpoint: Endpoint | None = None
 
@@ -200,5 +200,5 @@
     retry_after_ms: float
 
 
-Decision = Admitted | Queued | Refused
-Release = Granted | Dropped
+AdmissionDecision = Admitted | Queued | Refused
+QueueResult = Granted | Dropped
--- a/azurestep/balancing/queueing.py
+++ b/azurestep/balancing/queueing.py
@@ -12,7 +12,7 @@
 
 STANDING_AFTER_MS = 100.0
 STANDING_WAIT_RATIO = 0.2
-PACE_WINDOW_MS = 1000.0
+RATE_WINDOW_MS = 1000.0
 
 
 class Discipline(StrEnum):
@@ -45,7 +45,7 @@
         Requests of the class at backend servers.
     standing_since_ms : float
         Start of the period in which grants never emptied the queue.
-    measured_from_ms, grant_count : float
+    rate_window_start_ms, grant_count : float
         Start of the measured period and grants in it, both decayed.
     emptied_by_drops : bool
         Whether drops, and not grants, last emptied the queue.
@@ -57,7 +57,7 @@
     length: int = 0
     in_flight: int = 0
     standing_since_ms: float = 0.0
-    measured_from_ms: float = 0.0
+    rate_window_start_ms: float = 0.0
     grant_count: float = 0.0
     emptied_by_drops: bool = False
 
@@ -73,7 +73,7 @@
         if self.emptied_by_drops:
             return
         self.standing_since_ms = now_ms
-        self.measured_from_ms = now_ms
+        self.rate_window_start_ms = now_ms
         self.grant_count = 0.0
 
     def is_standing(self, now_ms: float) -> bool:
@@ -103,7 +103,7 @@
         """
         if self.length == 0 or self._newest_first(now_ms):
             return 0.0
-        age_ms = now_ms - self.measured_from_ms
+        age_ms = now_ms - self.rate_window_start_ms
         return self.length * (age_ms + mean_interval_ms) / (self.grant_count + 1.0)
 
     def peek(self, now_ms: float) -> Ticket | None:
@@ -122,8 +122,8 @@
         self.length -= 1
         self.emptied_by_drops = False
         self.grant_count += 1.0
-        if now_ms - self.measured_from_ms > PACE_WINDOW_MS:
-            self.measured_from_ms = (self.measured_from_ms + now_ms) / 2
+        if now_ms - self.rate_window_start_ms > RATE_WINDOW_MS:
+            self.rate_window_start_ms = (self.rate_window_start_ms + now_ms) / 2
             self.grant_count /= 2
 
     def _remove_end(self, newest: bool) -> None:
--- a/azurestep/balancing/retries.py
+++ b/azurestep/balancing/retries.py
@@ -38,7 +38,7 @@
         """Add the tokens of a first request."""
         self.tokens = min(MAX_TOKENS, self.tokens + self.ratio)
 
-    def spend(self, now_ms: float) -> bool:
+    def try_spend(self, now_ms: float) -> bool:
         """Spend one token on a retry; return whether there was one."""
         refill = max(0.0, now_ms - self.updated_ms) * REFILL_TOKENS_PER_MS
         if self.ratio > 0:
@@ -66,11 +66,11 @@
         Bytes of the answer already sent to the caller.
     remaining_ms : float
         Time until the caller's deadline.
-    expected_ms : float
+    estimated_ms : float
         Expected time of another attempt.
-    marked_final : bool
+    retried_upstream : bool
         Whether the answer says that a hop below already handled the failure.
-    server_died : bool or None
+    server_crashed : bool or None
         After ``RESET``: whether the backend server died; None if unknown.
     suspect : bool
         Whether the quarantine suspects the request.
@@ -81,9 +81,9 @@
     idempotent: bool
     bytes_delivered: int
     remaining_ms: float
-    expected_ms: float = 0.0
-    marked_final: bool = False
-    server_died: bool | None = None
+    estimated_ms: float = 0.0
+    retried_upstream: bool = False
+    server_crashed: bool | None = None
     suspect: bool = False
 
 
@@ -95,7 +95,7 @@
     ATTEMPTS = "attempts"
     BUDGET = "budget"
     DEADLINE = "deadline"
-    FINAL_BELOW = "final_below"
+    RETRIED_UPSTREAM = "final_below"
     SUSPECT = "suspect"
     CANCELLED = "cancelled"
 
@@ -109,8 +109,8 @@
 class ProbeFirst:
     """Open a new connection to the same backend server, then decide again.
 
-    If it is refused, the backend server died (``server_died=True``); otherwise only
-    the connection was lost (``server_died=False``).
+    If it is refused, the backend server died (``server_crashed=True``); otherwise only
+    the connection was lost (``server_crashed=False``).
     """
 
 
@@ -124,13 +124,13 @@
         Why no other attempt is made.
     not_run : bool
         Whether the request provably did not run in this attempt.
-    mark_final : bool
+    forbids_retry : bool
         Whether hops above must not retry.
     """
 
     reason: GiveUpReason
     not_run: bool
-    mark_final: bool = True
+    forbids_retry: bool = True
 
 
 RetryDecision = Retry | ProbeFirst | GiveUp
@@ -147,9 +147,9 @@
     reason = _find_give_up_reason(attempt, rule, not_run)
     if reason is not None:
         return GiveUp(reason, not_run)
-    if attempt.kind is OutcomeKind.RESET and attempt.server_died is None:
+    if attempt.kind is OutcomeKind.RESET and attempt.server_crashed is None:
         return ProbeFirst()
-    if not budget.spend(now_ms):
+    if not budget.try_spend(now_ms):
         return GiveUp(GiveUpReason.BUDGET, not_run)
     return Retry()
 
@@ -160,11 +160,11 @@
     unsafe = _find_unsafe_reason(attempt, not_run)
     if unsafe is not None:
         return unsafe
-    if attempt.marked_final:
-        return GiveUpReason.FINAL_BELOW
+    if attempt.retried_upstream:
+        return GiveUpReason.RETRIED_UPSTREAM
     if attempt.attempts >= rule.max_attempts:
         return GiveUpReason.ATTEMPTS
-    if attempt.remaining_ms <= max(0.0, attempt.expected_ms):
+    if attempt.remaining_ms <= max(0.0, attempt.estimated_ms):
         return GiveUpReason.DEADLINE
     return None
 
@@ -176,6 +176,6 @@
         return GiveUpReason.BYTES_DELIVERED
     if not not_run and not attempt.idempotent:
         return GiveUpReason.MAY_HAVE_RUN
-    if attempt.suspect or attempt.server_died:
+    if attempt.suspect or attempt.server_crashed:
         return GiveUpReason.SUSPECT
     return None
--- a/azurestep/balancing/throttle.py
+++ b/azurestep/balancing/throttle.py
@@ -11,7 +11,7 @@
 
 from ..config.model import Priority
 from .limiter import MIN_DECREASE_FACTOR, LatencyWindow
-from .messages import Outcome
+from .messages import AttemptOutcome
 
 MIN_ADMITTED_RATIO = 0.05
 THROTTLE_LATENCY_TOLERANCE = 3.0
@@ -20,11 +20,11 @@
 MAX_INCREASE_FACTOR = 2.0
 MIN_OVERLOADED_WINDOWS = 2
 MAX_DECREASE_FACTOR = 0.9
-MIX_TIME_CONSTANT_MS = 5000.0
+COUNT_TIME_CONSTANT_MS = 5000.0
 
 
 @attrs.define
-class ArrivalMix:
+class ArrivalCounts:
     """Exponentially decayed number of arrivals of each class."""
 
     interactive: float = 0.0
@@ -34,7 +34,7 @@
 
     def add(self, priority: Priority, now_ms: float) -> None:
         """Count one arrival."""
-        decay = math.exp((self.updated_ms - now_ms) / MIX_TIME_CONSTANT_MS)
+        decay = math.exp((self.updated_ms - now_ms) / COUNT_TIME_CONSTANT_MS)
         self.interactive *= decay
         self.payment *= decay
         self.bulk *= decay
@@ -63,7 +63,7 @@
         Consecutive overloaded windows.
     window : LatencyWindow
         Latencies since the last change.
-    mix : ArrivalMix
+    counts : ArrivalCounts
         Recent arrivals by class.
     """
 
@@ -72,7 +72,7 @@
     window: LatencyWindow = attrs.field(
         factory=lambda: LatencyWindow(THROTTLE_LATENCY_TOLERANCE, MAX_WINDOW_AGE_MS)
     )
-    mix: ArrivalMix = attrs.field(factory=ArrivalMix)
+    counts: ArrivalCounts = attrs.field(factory=ArrivalCounts)
 
     def admits(self, priority: Priority, now_ms: float, random_value: float) -> bool:
         """Return whether an arrival is admitted.
@@ -86,44 +86,46 @@
         random_value : float
             Random number from 0 to 1.
         """
-        self.mix.add(priority, now_ms)
+        self.counts.add(priority, now_ms)
         return self.admitted_ratio >= 1.0 or random_value < self.class_ratio(priority)
 
     def class_ratio(self, priority: Priority) -> float:
         """Return the share of a class that is admitted."""
-        mix = self.mix
-        remaining = self.admitted_ratio * (mix.interactive + mix.payment + mix.bulk)
+        counts = self.counts
+        remaining = self.admitted_ratio * (
+            counts.interactive + counts.payment + counts.bulk
+        )
         if priority is Priority.PAYMENT:
-            return max(MIN_ADMITTED_RATIO, remaining / max(mix.payment, 1.0))
-        remaining -= mix.payment
+            return max(MIN_ADMITTED_RATIO, remaining / max(counts.payment, 1.0))
+        remaining -= counts.payment
         if priority is Priority.INTERACTIVE:
-            return max(MIN_ADMITTED_RATIO, remaining / max(mix.interactive, 1.0))
-        remaining -= mix.interactive
-        return max(MIN_ADMITTED_RATIO, remaining / max(mix.bulk, 1.0))
+            return max(MIN_ADMITTED_RATIO, remaining / max(counts.interactive, 1.0))
+        remaining -= counts.interactive
+        return max(MIN_ADMITTED_RATIO, remaining / max(counts.bulk, 1.0))
 
-    def record(self, outcome: Outcome, now_ms: float) -> bool:
+    def record(self, outcome: AttemptOutcome, now_ms: float) -> bool:
         """Record a finished attempt; return whether the window is full.
 
         Parameters
         ----------
-        outcome : Outcome
+        outcome : AttemptOutcome
             A success, timeout or refusal by the backend server.
         now_ms : float
             Current time.
         """
         return self.window.add(outcome, 0, now_ms)
 
-    def update_ratio(self, limits_binding: bool, now_ms: float) -> None:
+    def update_ratio(self, limits_are_effective: bool, now_ms: float) -> None:
         """Update the admitted ratio by the full window and start the next one.
 
         Parameters
         ----------
-        limits_binding : bool
+        limits_are_effective : bool
             Whether the concurrency limits already reduce the load.
         now_ms : float
             Current time.
         """
-        if limits_binding or not self.window.is_overloaded():
+        if limits_are_effective or not self.window.is_overloaded():
             self.overloaded_windows = 0
             self.admitted_ratio = min(
                 1.0, self.admitted_ratio * self._increase_factor(now_ms)
--- a/azurestep/node/once.py
+++ b/azurestep/node/once.py
@@ -124,7 +124,7 @@
         self._log = LogClient(
             self._session, self.settings.platform_url, self.environment
         )
-        self.proxy.once_handler = self.serve
+        self.proxy.non_idempotent_handler = self.serve
         self.start_event.set()
         async with asyncio.TaskGroup() as group:
             group.create_task(self._take_inputs())
@@ -264,7 +264,7 @@
             self._handle(DispatchFailed(run.run_id, bytes_sent=False))
             return
         try:
-            result = await self.proxy.run_single(call)
+            result = await self.proxy.run_non_idempotent(call)
         except Exception:
             self._handle(DispatchFailed(run.run_id, bytes_sent=True))
             self._note_run(run, call, Outcome.MAY_HAVE_RUN)
@@ -273,8 +273,8 @@
             self._handle(BackendServerAnswered(run.run_id, result.answer))
             self._note_run(run, call, Outcome.RAN)
             return
-        self._handle(DispatchFailed(run.run_id, result.bytes_sent))
-        is_sent = result.bytes_sent
+        self._handle(DispatchFailed(run.run_id, result.may_have_run))
+        is_sent = result.may_have_run
         outcome = Outcome.MAY_HAVE_RUN if is_sent else Outcome.NOT_RUN
         self._note_run(run, call, outcome)
 
--- a/azurestep/node/outcomes.py
+++ b/azurestep/node/outcomes.py
@@ -70,7 +70,7 @@
     checkpoints: CheckpointPace
     traffic: "asyncio.Queue[TrafficInput]"
     tell_once: Callable[[OnceInput], None]
-    _once_services: frozenset[str] = frozenset()
+    _non_idempotent_services: frozenset[str] = frozenset()
 
     @singledispatchmethod
     def perform(self, output: Output) -> None:
@@ -118,8 +118,8 @@
         assert state.configuration is not None
         table = RoutingTable(state.version, state.configuration)
         self.traffic.put_nowait(TableReady(table))
-        self._once_services = table.once_services
-        self.owners.choose(table.once_services)
+        self._non_idempotent_services = table.non_idempotent_services
+        self.owners.choose(table.non_idempotent_services)
         self.tell_owners()
         events.emit(
             events.VERSION_IN_FORCE,
@@ -155,5 +155,8 @@
         change = self.owners.change()
         if change is not None:
             self.tell_once(change)
-        if any(s.service in self._once_services for s in self.membership.own.servers):
+        if any(
+            s.service in self._non_idempotent_services
+            for s in self.membership.own.servers
+        ):
             self.tell_once(OwnershipAllowed())
--- a/azurestep/node/traffic.py
+++ b/azurestep/node/traffic.py
@@ -115,11 +115,11 @@
 
     @_take.register
     def _(self, message: TableReady) -> None:
-        self.proxy.swap_table(message.table)
+        self.proxy.replace_table(message.table)
 
     @_take.register
     def _(self, message: DirectoryReady) -> None:
-        self.proxy.swap_directory(message.directory)
+        self.proxy.replace_directory(message.directory)
 
     @_take.register
     def _(self, message: QuarantineLearned) -> None:
--- a/azurestep/traffic/answers.py
+++ b/azurestep/traffic/answers.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class Refusal:
+class ErrorAnswer:
     """An error answer to a request without an answer of a backend server.
 
     Attributes
@@ -43,7 +43,7 @@
         Short name of the cause.
     retry_after_ms : float or None
         Time after which to send again; None if that is of no use.
-    is_final : bool
+    forbids_retry : bool
         Whether hops above must not retry.
     """
 
@@ -51,16 +51,16 @@
     outcome: CallOutcome
     reason: str
     retry_after_ms: float | None = None
-    is_final: bool = False
+    forbids_retry: bool = False
 
 
-def not_run(status: int, reason: str, retry_after_ms: float | None) -> Refusal:
-    """Return the refusal of a request that did not run."""
-    return Refusal(status, CallOutcome.NOT_RUN, reason, retry_after_ms)
+def not_run(status: int, reason: str, retry_after_ms: float | None) -> ErrorAnswer:
+    """Return the error answer of a request that did not run."""
+    return ErrorAnswer(status, CallOutcome.NOT_RUN, reason, retry_after_ms)
 
 
-def make_refusal(decision: GiveUp, attempt: Attempt) -> Refusal:
-    """Return the refusal after the last attempt at a request."""
+def make_error_answer(decision: GiveUp, attempt: Attempt) -> ErrorAnswer:
+    """Return the error answer after the last attempt at a request."""
     if decision.not_run:
         outcome, status = CallOutcome.NOT_RUN, UNAVAILABLE
     elif attempt.kind is OutcomeKind.TIMEOUT:
@@ -68,23 +68,28 @@
     else:
         outcome, status = CallOutcome.MAY_HAVE_RUN, BAD_GATEWAY
     reason = decision.reason.value
-    return Refusal(status, outcome, reason, RETRY_AFTER_MS, decision.mark_final)
+    return ErrorAnswer(status, outcome, reason, RETRY_AFTER_MS, decision.forbids_retry)
 
 
-def make_answer(refusal: Refusal) -> web.Response:
-    """Return the HTTP answer of a refusal."""
-    fields = {headers.OUTCOME: refusal.outcome, headers.REASON: refusal.reason}
-    if refusal.outcome is CallOutcome.NOT_RUN:
+def make_answer(error_answer: ErrorAnswer) -> web.Response:
+    """Return the HTTP answer of an error answer."""
+    fields = {
+        headers.OUTCOME: error_answer.outcome,
+        headers.REASON: error_answer.reason,
+    }
+    if error_answer.outcome is CallOutcome.NOT_RUN:
         fields[headers.NOT_RUN] = "1"
-    if refusal.is_final:
+    if error_answer.forbids_retry:
         fields[headers.RETRIED] = headers.RETRIED_FINAL
-    if refusal.retry_after_ms is not None:
-        seconds = math.ceil(refusal.retry_after_ms / MS_PER_S)
+    if error_answer.retry_after_ms is not None:
+        seconds = math.ceil(error_answer.retry_after_ms / MS_PER_S)
         fields[headers.RETRY_AFTER] = str(seconds)
-        fields[headers.RETRY_AFTER_MS] = str(math.ceil(refusal.retry_after_ms))
-    body = orjson.dumps({"outcome": refusal.outcome, "reason": refusal.reason})
+        fields[headers.RETRY_AFTER_MS] = str(math.ceil(error_answer.retry_after_ms))
+    body = orjson.dumps(
+        {"outcome": error_answer.outcome, "reason": error_answer.reason}
+    )
     return web.Response(
-        status=refusal.status,
+        status=error_answer.status,
         body=body,
         headers=fields,
         content_type="application/json",
--- a/azurestep/traffic/attempt.py
+++ b/azurestep/traffic/attempt.py
@@ -8,7 +8,7 @@
 from aiohttp.http_exceptions import HttpProcessingError
 
 from .. import events
-from ..balancing import Endpoint, OutcomeKind, reduce_budget
+from ..balancing import Endpoint, OutcomeKind, budget_for_next_hop
 from ..environment import Clock
 from ..settings import Address
 from . import headers
@@ -37,9 +37,9 @@
         How it ended.
     latency_ms : float
         Time to the first byte of the answer or to the failure.
-    response : BackendAnswer or None
+    answer : BackendAnswer or None
         The answer with an unread body; None without an answer.
-    is_final : bool
+    retried_upstream : bool
         Whether a hop below already handled the failure.
     sent_ms : float
         Monotonic time at which the request was sent.
@@ -47,8 +47,8 @@
 
     kind: OutcomeKind
     latency_ms: float
-    response: BackendAnswer | None = None
-    is_final: bool = False
+    answer: BackendAnswer | None = None
+    retried_upstream: bool = False
     sent_ms: float = 0.0
 
 
@@ -113,10 +113,10 @@
         is_repeatable = call.match.idempotent and call.stream is None
         connection = self._connections.take_idle(address) if is_repeatable else None
         if connection is None:
-            return await self._exchange_fresh(call, address, extra)
+            return await self._exchange_on_new(call, address, extra)
         return await self._exchange_pooled(call, address, extra, connection)
 
-    async def _exchange_fresh(
+    async def _exchange_on_new(
         self, call: Call, address: Address, extra: Mapping[str, str] | None
     ) -> ExchangeResult:
         service = call.match.service
@@ -132,7 +132,7 @@
         extra: Mapping[str, str] | None,
     ) -> ExchangeResult:
         sent_ms = self._clock.monotonic_ms()
-        budget = reduce_budget(call.budget, sent_ms - call.arrived_ms)
+        budget = budget_for_next_hop(call.budget, sent_ms - call.arrived_ms)
         body = call.body if call.stream is None else call.stream
         try:
             head = await connection.send(
@@ -156,13 +156,13 @@
         def may_hedge() -> bool:
             # Hedges of connections known to be unresponsive spend no budget.
             valid_from_ms = self._connections.valid_from_ms(address)
-            return connection.opened_ms < valid_from_ms or budget.spend()
+            return connection.opened_ms < valid_from_ms or budget.try_spend()
 
         hedge = Hedge(
             connection,
             self._first_byte_times(call).hedge_delay_ms(),
             may_hedge,
-            lambda: self._exchange_fresh(call, address, extra),
+            lambda: self._exchange_on_new(call, address, extra),
         )
         try:
             return await self._exchange_on(connection, call, extra)
@@ -179,9 +179,11 @@
         self, address: Address, unresponsive: BackendConnection, working: ExchangeResult
     ) -> None:
         opened_ms = working.connection.opened_ms
-        is_first = unresponsive.opened_ms >= self._connections.valid_from_ms(address)
+        is_newly_retired = unresponsive.opened_ms >= self._connections.valid_from_ms(
+            address
+        )
         retired = self._connections.retire(address, opened_ms)
-        if is_first:
+        if is_newly_retired:
             events.emit(
                 events.CONNECTIONS_RETIRED, address=str(address), retired=retired
             )
--- a/azurestep/traffic/call.py
+++ b/azurestep/traffic/call.py
@@ -10,8 +10,8 @@
     BODY_PREFIX_BYTES,
     DeadlineBudget,
     EndpointKey,
+    budget_on_arrival,
     fingerprint,
-    limit_budget,
 )
 from . import headers
 from .table import Match, RoutingTable
@@ -42,13 +42,13 @@
         Whole body of the request, empty for none.
     tried : list of EndpointKey
         Backend servers of the attempts so far.
-    is_resend : bool
+    is_client_retry : bool
         Whether the caller marked the request as sent again.
     stream : AsyncIterable of bytes or None
         Body of a request too large to be buffered; it can be sent only once.
     is_suspect : bool
         Whether the quarantine suspects the request.
-    is_draining : bool
+    closes_connection : bool
         Whether the answer closes the caller's connection.
     may_have_run : bool
         Whether a backend server may have run the request.
@@ -65,10 +65,10 @@
     arrived_ms: float
     body: bytes = b""
     tried: list[EndpointKey] = attrs.field(factory=list)
-    is_resend: bool = False
+    is_client_retry: bool = False
     stream: AsyncIterable[bytes] | None = None
     is_suspect: bool = False
-    is_draining: bool = False
+    closes_connection: bool = False
     may_have_run: bool = False
     waited_ms: float = 0.0
     _fingerprint: int | None = None
@@ -101,10 +101,10 @@
     """Return the remaining time and depth of a request on its arrival."""
     remaining_ms = _parse_number(request.headers.get(headers.DEADLINE_MS))
     depth = _parse_number(request.headers.get(headers.DEPTH))
-    return limit_budget(remaining_ms, int(depth or 0), match.timeout_ms)
+    return budget_on_arrival(remaining_ms, int(depth or 0), match.timeout_ms)
 
 
-def is_resend(request: web.BaseRequest) -> bool:
+def is_client_retry(request: web.BaseRequest) -> bool:
     """Return whether the caller marked the request as sent again."""
     attempt = _parse_number(request.headers.get(headers.ATTEMPT))
     return attempt is not None and attempt > 1
--- a/azurestep/traffic/caller_answer.py
+++ b/azurestep/traffic/caller_answer.py
@@ -12,7 +12,7 @@
 WrittenCallback = Callable[[], None]
 
 
-class WholeAnswer(web.Response):
+class BufferedAnswer(web.Response):
     """An answer with its whole body; it calls ``on_written`` once written."""
 
     on_written: WrittenCallback | None = None
@@ -34,10 +34,12 @@
     _length_check = False
 
 
-def make_streamed_answer(answer: BackendAnswer, is_final: bool) -> web.StreamResponse:
+def make_streamed_answer(
+    answer: BackendAnswer, forbids_retry: bool
+) -> web.StreamResponse:
     """Return an answer whose body is streamed."""
     fields = end_to_end_headers(answer.headers)
-    if is_final:
+    if forbids_retry:
         fields[headers.RETRIED] = headers.RETRIED_FINAL
     if answer.ends_with_connection:
         fields["Connection"] = "close"
@@ -54,15 +56,15 @@
     return response
 
 
-def make_whole_answer(
-    answer: BackendAnswer, body: bytes, is_final: bool
-) -> WholeAnswer:
+def make_buffered_answer(
+    answer: BackendAnswer, body: bytes, forbids_retry: bool
+) -> BufferedAnswer:
     """Return an answer with its whole body."""
     dropped = ("content-length",) if answer.has_body else ()
     fields = end_to_end_headers(answer.headers, dropped)
-    if is_final:
+    if forbids_retry:
         fields[headers.RETRIED] = headers.RETRIED_FINAL
-    return WholeAnswer(
+    return BufferedAnswer(
         status=answer.status, reason=answer.reason, body=body, headers=fields
     )
 
--- a/azurestep/traffic/connection.py
+++ b/azurestep/traffic/connection.py
@@ -14,7 +14,7 @@
 
 READ_BUFFER_BYTES = 64 * 1024
 HEAD_METHOD = "HEAD"
-INFORMATIONAL = 200
+MIN_FINAL_STATUS = 200
 SWITCHING_PROTOCOLS = 101
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -102,6 +102,6 @@
     async def _read_head(self) -> Head:
         while True:
             message, payload = await self.read()
-            is_interim = message.code < INFORMATIONAL
-            if not is_interim or message.code == SWITCHING_PROTOCOLS:
+            is_informational = message.code < MIN_FINAL_STATUS
+            if not is_informational or message.code == SWITCHING_PROTOCOLS:
                 return Head(message, payload)
--- a/azurestep/traffic/connection_pool.py
+++ b/azurestep/traffic/connection_pool.py
@@ -79,7 +79,7 @@
                 )
         except (OSError, TimeoutError) as error:
             raise ConnectFailedError(str(error)) from error
-        limit_unacknowledged(transport)
+        set_tcp_user_timeout(transport)
         return connection
 
     def put_back(self, address: Address, connection: BackendConnection) -> None:
@@ -131,7 +131,7 @@
         self._pools.clear()
 
 
-def limit_unacknowledged(transport: asyncio.BaseTransport) -> None:
+def set_tcp_user_timeout(transport: asyncio.BaseTransport) -> None:
     """Make the kernel abort the connection if sent bytes stay unacknowledged."""
     sock = transport.get_extra_info("socket")
     if sock is None:
--- a/azurestep/traffic/directory.py
+++ b/azurestep/traffic/directory.py
@@ -98,7 +98,7 @@
             endpoints[service] = tuple(
                 self._endpoint_of(placed, now_ms) for placed in self.servers(service)
             )
-            self._remove_departed(service, endpoints[service])
+            self._forget_removed(service, endpoints[service])
         self._endpoints = endpoints
         self._has_endpoints = self._has_endpoints or bool(endpoints)
         return Directory(endpoints, changed)
@@ -111,7 +111,9 @@
     def _endpoint_of(self, placed: PlacedServer, now_ms: float) -> Endpoint:
         server = placed.server
         key = endpoint_key(server)
-        first_seen_ms = self._first_seen_ms.setdefault(key, self._announced_ms(now_ms))
+        first_seen_ms = self._first_seen_ms.setdefault(
+            key, self._initial_first_seen_ms(now_ms)
+        )
         is_leaving = server.status == ServerStatus.LEAVING
         return Endpoint(
             key,
@@ -123,13 +125,13 @@
             is_leaving,
         )
 
-    def _remove_departed(self, service: str, current: tuple[Endpoint, ...]) -> None:
+    def _forget_removed(self, service: str, current: tuple[Endpoint, ...]) -> None:
         current_keys = {endpoint.key for endpoint in current}
         for endpoint in self._endpoints.get(service, ()):
             if endpoint.key not in current_keys:
                 self._first_seen_ms.pop(endpoint.key, None)
 
-    def _announced_ms(self, now_ms: float) -> float:
+    def _initial_first_seen_ms(self, now_ms: float) -> float:
         # Right after its start the node can't know which servers are new.
         return now_ms if self._has_endpoints else float("-inf")
 
--- a/azurestep/traffic/forward.py
+++ b/azurestep/traffic/forward.py
@@ -8,23 +8,23 @@
 
 from .. import events
 from ..balancing import (
+    AdmissionRequest,
+    AttemptOutcome,
     Endpoint,
     FailedAttempt,
     GiveUp,
-    Outcome,
     OutcomeKind,
     ProbeFirst,
     QuarantineStatus,
     RefusalReason,
     Refused,
-    RequestArrived,
     Resume,
     Retry,
     Ticket,
     decide_retry,
 )
 from ..environment import Clock
-from .answers import CallOutcome, Refusal, make_refusal, not_run
+from .answers import CallOutcome, ErrorAnswer, make_error_answer, not_run
 from .attempt import NOT_RUN_KINDS, Attempt, AttemptSender
 from .backend_answer import BackendAnswer, BodyTruncatedError
 from .call import Call
@@ -71,32 +71,32 @@
 
     async def run(
         self, pool: ServicePool, request: web.BaseRequest | None, call: Call
-    ) -> web.StreamResponse | Refusal:
-        """Return the answer to a call, or a refusal."""
-        refusal = self.find_refusal(pool, call)
-        while refusal is None:
+    ) -> web.StreamResponse | ErrorAnswer:
+        """Return the answer to a call, or an error answer."""
+        error_answer = self.check_limits(pool, call)
+        while error_answer is None:
             sent = await self.send_attempt(pool, call)
-            if isinstance(sent, Refusal):
+            if isinstance(sent, ErrorAnswer):
                 return sent
             decision = self._decide(call, sent)
-            if sent.attempt.response is not None and not isinstance(decision, Retry):
+            if sent.attempt.answer is not None and not isinstance(decision, Retry):
                 answer = await self._relay(request, call, sent, decision is not None)
                 if answer is not None:
                     return answer
                 decision = self._decide(call, sent)
             self.finish(sent, sent.attempt.kind)
             if decision is not None and not isinstance(decision, Retry):
-                refusal = make_refusal(decision, sent.attempt)
-        return refusal
+                error_answer = make_error_answer(decision, sent.attempt)
+        return error_answer
 
-    def find_refusal(self, pool: ServicePool, call: Call) -> Refusal | None:
-        """Return the refusal of a call over the retry budget or in quarantine."""
+    def check_limits(self, pool: ServicePool, call: Call) -> ErrorAnswer | None:
+        """Return the error answer of a call over the retry budget or in quarantine."""
         now_ms = self._clock.monotonic_ms()
-        if call.is_resend and not pool.retry_budget.spend(now_ms):
+        if call.is_client_retry and not pool.retry_budget.try_spend(now_ms):
             refusal_reason = RefusalReason.RETRY_BUDGET
             wait_ms = pool.admission.retry_after_ms(refusal_reason, now_ms)
             return not_run(503, refusal_reason.value, wait_ms)
-        if not call.is_resend:
+        if not call.is_client_retry:
             pool.retry_budget.earn()
         if not pool.quarantine.active:
             return None
@@ -110,18 +110,18 @@
             fingerprint=call.fingerprint,
         )
         reason = RefusalReason.QUARANTINED.value
-        return Refusal(503, CallOutcome.NOT_RUN, reason, None, is_final=True)
+        return ErrorAnswer(503, CallOutcome.NOT_RUN, reason, None, forbids_retry=True)
 
     async def send_attempt(
         self, pool: ServicePool, call: Call
-    ) -> SentAttempt | Refusal:
+    ) -> SentAttempt | ErrorAnswer:
         """Wait for a free slot and send one attempt."""
         now_ms = self._clock.monotonic_ms()
         avoid = tuple(call.tried)
         if call.is_suspect:
             avoid += pool.quarantine.servers_with_suspects(now_ms)
         decision = await pool.acquire(
-            RequestArrived(call.match.priority, now_ms, call.deadline_ms, avoid)
+            AdmissionRequest(call.match.priority, now_ms, call.deadline_ms, avoid)
         )
         if isinstance(decision, Refused):
             return not_run(503, decision.reason.value, decision.retry_after_ms)
@@ -147,7 +147,7 @@
             attempt = await self._sender.send(call, endpoint, extra)
         except asyncio.CancelledError:
             now_ms = self._clock.monotonic_ms()
-            pool.finish(ticket, Outcome(OutcomeKind.CANCELLED, 0.0), now_ms)
+            pool.finish(ticket, AttemptOutcome(OutcomeKind.CANCELLED, 0.0), now_ms)
             pool.quarantine.record_end(call.fingerprint, key)
             raise
         if attempt.kind in NOT_RUN_KINDS:
@@ -167,7 +167,7 @@
             probe = self._sender.probe
             await pool.handle_lost_connection(call.fingerprint, endpoint, probe, now_ms)
         elif pool.quarantine.active:
-            is_answered = attempt.response is not None
+            is_answered = attempt.answer is not None
             pool.record_end(call.fingerprint, endpoint.key, is_answered, now_ms)
 
     def _decide(self, call: Call, sent: SentAttempt) -> Retry | GiveUp | None:
@@ -185,8 +185,8 @@
             0,
             call.remaining_ms(now_ms),
             pool.admission.latency_ms,
-            attempt.is_final,
-            pool.has_died(sent.endpoint.key),
+            attempt.retried_upstream,
+            pool.has_crashed(sent.endpoint.key),
             call.is_suspect,
         )
         rule = call.match.service.retry
@@ -198,9 +198,9 @@
 
     def finish(self, sent: SentAttempt, kind: OutcomeKind) -> None:
         """Release the slot and the connection of an attempt."""
-        if sent.attempt.response is not None:
-            sent.attempt.response.release()
-        outcome = Outcome(kind, sent.attempt.latency_ms)
+        if sent.attempt.answer is not None:
+            sent.attempt.answer.release()
+        outcome = AttemptOutcome(kind, sent.attempt.latency_ms)
         sent.pool.finish(sent.ticket, outcome, self._clock.monotonic_ms())
 
     async def _relay(
@@ -208,10 +208,10 @@
         request: web.BaseRequest | None,
         call: Call,
         sent: SentAttempt,
-        is_final: bool,
+        forbids_retry: bool,
     ) -> web.StreamResponse | None:
-        response = sent.attempt.response
-        assert response is not None
+        backend_answer = sent.attempt.answer
+        assert backend_answer is not None
         current = sent
 
         async def resume(requested: Resume) -> BackendAnswer | None:
@@ -221,22 +221,22 @@
             if resumed is None:
                 return None
             current = resumed
-            return resumed.attempt.response
+            return resumed.attempt.answer
 
         relay = Relay(
             call,
-            response,
+            backend_answer,
             resume,
             self._clock.monotonic_ms,
-            self._added_latency_recorder(call, sent.attempt, response),
-            is_final,
+            self._added_latency_recorder(call, sent.attempt, backend_answer),
+            forbids_retry,
         )
         try:
             answer = await relay.run(request)
         except BodyTruncatedError:
             sent.attempt.kind = OutcomeKind.RESET
-            sent.attempt.response = None
-            response.release()
+            sent.attempt.answer = None
+            backend_answer.release()
             self.finish(current, OutcomeKind.RESET)
             return None
         except BaseException:
@@ -251,7 +251,7 @@
         self, call: Call, pool: ServicePool, requested: Resume
     ) -> SentAttempt | None:
         now_ms = self._clock.monotonic_ms()
-        if not pool.retry_budget.spend(now_ms):
+        if not pool.retry_budget.try_spend(now_ms):
             return None
         timeout_ms = call.match.timeout_ms
         # A resumption gets the full timeout again: bodies may outlast the deadline.
@@ -261,7 +261,7 @@
             budget=attrs.evolve(call.budget, remaining_ms=timeout_ms),
         )
         decision = await pool.acquire(
-            RequestArrived(
+            AdmissionRequest(
                 call.match.priority, now_ms, resumed_call.deadline_ms, tuple(call.tried)
             )
         )
@@ -275,20 +275,20 @@
             pool, resumed_call, decision.ticket, decision.endpoint, extra
         )
         sent = SentAttempt(pool, decision.ticket, decision.endpoint, attempt)
-        if attempt.response is None or attempt.kind is not OutcomeKind.SUCCESS:
+        if attempt.answer is None or attempt.kind is not OutcomeKind.SUCCESS:
             self.finish(sent, attempt.kind)
             return None
         return sent
 
     def _added_latency_recorder(
-        self, call: Call, attempt: Attempt, response: BackendAnswer
+        self, call: Call, attempt: Attempt, backend_answer: BackendAnswer
     ) -> Callable[[], None]:
         before_ms = attempt.sent_ms - call.arrived_ms - call.waited_ms
         is_first = len(call.tried) == 1
 
         def record() -> None:
             if is_first:
-                after_ms = self._clock.monotonic_ms() - response.first_byte_ms
+                after_ms = self._clock.monotonic_ms() - backend_answer.first_byte_ms
                 self._latency.add(before_ms + after_ms)
 
         return record
@@ -296,6 +296,6 @@
 
 def _is_request_error(attempt: Attempt) -> bool:
     """Return whether an error answer would be the same at every backend server."""
-    if attempt.kind is not OutcomeKind.ERROR or attempt.response is None:
+    if attempt.kind is not OutcomeKind.ERROR or attempt.answer is None:
         return False
-    return attempt.response.status not in RETRYABLE_STATUSES
+    return attempt.answer.status not in RETRYABLE_STATUSES
--- a/azurestep/traffic/hedge_policy.py
+++ b/azurestep/traffic/hedge_policy.py
@@ -10,7 +10,7 @@
 
 MEAN_GAIN = 0.125
 DEVIATION_GAIN = 0.25
-DEVIATIONS = 4.0
+DELAY_DEVIATIONS = 4.0
 MIN_HEDGE_DELAY_MS = 100.0
 INITIAL_HEDGE_DELAY_MS = 250.0
 MAX_TOKENS = 10.0
@@ -58,7 +58,7 @@
         """
         if self.is_empty:
             return INITIAL_HEDGE_DELAY_MS
-        hedge_delay_ms = self.mean_ms + DEVIATIONS * self.deviation_ms
+        hedge_delay_ms = self.mean_ms + DELAY_DEVIATIONS * self.deviation_ms
         return max(MIN_HEDGE_DELAY_MS, hedge_delay_ms)
 
 
@@ -78,7 +78,7 @@
         """Add the tokens of one request."""
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one token on a hedge; return whether there was one."""
         if self.tokens < 1.0:
             return False
--- a/azurestep/traffic/packed_call.py
+++ b/azurestep/traffic/packed_call.py
@@ -12,7 +12,7 @@
 from .table import RoutingTable
 
 HASH_SIZE_BYTES = 16
-NOT_CARRIED = frozenset({headers.IDEMPOTENCY_KEY.lower()})
+EXCLUDED_HEADERS = frozenset({headers.IDEMPOTENCY_KEY.lower()})
 
 
 def request_digest(call: Call) -> str:
@@ -28,7 +28,7 @@
     fields = [
         Header(name, value)
         for name, value in call.fields.items()
-        if name.lower() not in NOT_CARRIED
+        if name.lower() not in EXCLUDED_HEADERS
     ]
     fields.append(Header(headers.IDEMPOTENCY_KEY, key))
     host = call.fields.get("Host", "").partition(":")[0]
--- a/azurestep/traffic/pool.py
+++ b/azurestep/traffic/pool.py
@@ -8,25 +8,25 @@
 
 from ..balancing import (
     Admission,
+    AdmissionRequest,
     Admitted,
+    AttemptOutcome,
     Dropped,
     Endpoint,
     EndpointKey,
     Granted,
-    Outcome,
     OutcomeKind,
     Quarantine,
     QuarantineUpdate,
     Queued,
+    QueueResult,
     Refused,
-    Release,
-    RequestArrived,
     RetryBudget,
     Ticket,
 )
 from ..config.model import ClassShares, Service
 
-MAX_DEAD_SERVERS = 256
+MAX_CRASHED_SERVERS = 256
 
 Probe = Callable[[Endpoint, float], Awaitable[bool]]
 
@@ -61,7 +61,7 @@
         Class shares of the preset in force.
     data_centre, instance : str
         Where this node runs.
-    source : random.Random
+    rng : random.Random
         Random number generator.
     on_report : callable
         Called with each report on requests that crash backend servers.
@@ -73,17 +73,17 @@
         shares: ClassShares,
         data_centre: str,
         instance: str,
-        source: random.Random,
+        rng: random.Random,
         *,
         on_report: QuarantineListener,
     ) -> None:
-        self.admission = Admission(service, shares, data_centre, instance, source)
+        self.admission = Admission(service, shares, data_centre, instance, rng)
         self.retry_budget = RetryBudget(service.retry.budget_ratio)
         self.quarantine = Quarantine()
         self.endpoints: tuple[Endpoint, ...] = ()
         self._service = service
         self._on_report = on_report
-        self._dead: dict[EndpointKey, None] = {}
+        self._crashed: dict[EndpointKey, None] = {}
         self._waiting: dict[Ticket, asyncio.Future[Granted | Dropped]] = {}
 
     def configure(self, service: Service, shares: ClassShares, now_ms: float) -> None:
@@ -105,7 +105,7 @@
             key = previous.key
             current = keys_by_address.get((key.host, key.port), key)
             if current != key and not previous.leaving:
-                self._record_death(key, now_ms)
+                self._record_crash(key, now_ms)
 
     async def handle_lost_connection(
         self, fingerprint: int, endpoint: Endpoint, probe: Probe, now_ms: float
@@ -113,24 +113,24 @@
         """Probe a backend server whose connection was lost; record its death."""
         key = endpoint.key
         self.quarantine.record_loss(fingerprint, key, now_ms)
-        if key in self._dead:
+        if key in self._crashed:
             return
         if await probe(endpoint, self._service.connect_timeout_ms):
             self.quarantine.record_alive(key)
         else:
-            self._record_death(key, now_ms)
+            self._record_crash(key, now_ms)
 
-    def _record_death(self, key: EndpointKey, now_ms: float) -> None:
-        self._dead[key] = None
-        if len(self._dead) > MAX_DEAD_SERVERS:
-            del self._dead[next(iter(self._dead))]
+    def _record_crash(self, key: EndpointKey, now_ms: float) -> None:
+        self._crashed[key] = None
+        if len(self._crashed) > MAX_CRASHED_SERVERS:
+            del self._crashed[next(iter(self._crashed))]
         updates = self.quarantine.record_death(key, now_ms, len(self.endpoints))
         if updates:
             self._on_report(QuarantineReport(self._service.name, updates))
 
-    def has_died(self, key: EndpointKey) -> bool:
+    def has_crashed(self, key: EndpointKey) -> bool:
         """Return whether a backend server is recorded as dead."""
-        return key in self._dead
+        return key in self._crashed
 
     def record_end(
         self, fingerprint: int, key: EndpointKey, is_answered: bool, now_ms: float
@@ -141,7 +141,7 @@
         else:
             self.quarantine.record_end(fingerprint, key)
 
-    async def acquire(self, request: RequestArrived) -> Admitted | Refused:
+    async def acquire(self, request: AdmissionRequest) -> Admitted | Refused:
         """Return a backend server for a request, waiting in the queue if necessary."""
         decision = self.admission.request(request)
         if not isinstance(decision, Queued):
@@ -152,14 +152,14 @@
         )
         self._waiting[ticket] = future
         try:
-            release = await future
+            result = await future
         except asyncio.CancelledError:
             self._waiting.pop(ticket, None)
             self._cancel(ticket, future, request.now_ms)
             raise
-        if isinstance(release, Granted):
-            return Admitted(ticket, release.endpoint)
-        return Refused(release.reason, release.retry_after_ms)
+        if isinstance(result, Granted):
+            return Admitted(ticket, result.endpoint)
+        return Refused(result.reason, result.retry_after_ms)
 
     def _cancel(
         self,
@@ -169,12 +169,12 @@
     ) -> None:
         was_granted = future.done() and not future.cancelled()
         if was_granted and isinstance(future.result(), Granted):
-            outcome = Outcome(OutcomeKind.CANCELLED, 0.0)
+            outcome = AttemptOutcome(OutcomeKind.CANCELLED, 0.0)
             self.resolve_waiting(self.admission.finish(ticket, outcome, now_ms))
         else:
             self.resolve_waiting(self.admission.cancel(ticket, now_ms))
 
-    def finish(self, ticket: Ticket, outcome: Outcome, now_ms: float) -> None:
+    def finish(self, ticket: Ticket, outcome: AttemptOutcome, now_ms: float) -> None:
         """End an attempt and grant its slot to a queued request."""
         self.resolve_waiting(self.admission.finish(ticket, outcome, now_ms))
 
@@ -183,9 +183,9 @@
         if self._waiting:
             self.resolve_waiting(self.admission.tick(now_ms))
 
-    def resolve_waiting(self, releases: list[Release]) -> None:
-        """Set the result of the tasks that wait for these releases."""
-        for release in releases:
-            future = self._waiting.pop(release.ticket, None)
+    def resolve_waiting(self, results: list[QueueResult]) -> None:
+        """Set the result of the tasks that wait for these results."""
+        for result in results:
+            future = self._waiting.pop(result.ticket, None)
             if future is not None and not future.done():
-                future.set_result(release)
+                future.set_result(result)
--- a/azurestep/traffic/proxy.py
+++ b/azurestep/traffic/proxy.py
@@ -1,7 +1,7 @@
 """The proxy: serves a caller's request.
 
 Stages: match the route, read the body, admit, send, relay. A stage may end the
-request with a refusal.
+request with an error answer.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from ..balancing import LoadReport
 from ..environment import Clock
 from ..settings import Settings
-from .answers import Refusal, make_answer, not_run
+from .answers import ErrorAnswer, make_answer, not_run
 from .attempt import AttemptSender
 from .call import (
     Call,
-    is_resend,
+    is_client_retry,
     read_budget,
     read_host,
     read_target,
@@ -28,15 +28,15 @@
 from .latency import AddedLatency, LatencySummary
 from .pool import QuarantineListener, QuarantineReport, ServicePool
 from .request_body import buffer_body
-from .single_run import RunFailed, RunResult, run_single
+from .single_run import RunFailed, RunResult, run_non_idempotent
 from .table import RoutingTable
-from .under_way import STOPPING, InFlightRequest, InFlightRequests
+from .under_way import STOPPING_ANSWER, InFlightRequest, InFlightRequests
 
 STARTING_RETRY_AFTER_MS = 500.0
 MAX_STARTING_WAIT_S = 2.0
 MS_PER_S = 1000
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-OnceHandler = Callable[[Call], Awaitable[web.Response]]
+NonIdempotentHandler = Callable[[Call], Awaitable[web.Response]]
 
 
 class Proxy:
@@ -49,7 +49,7 @@
         the report to peers.
     ready : asyncio.Event
         Set once requests no longer wait for the routing table and the directory.
-    once_handler : callable or None
+    non_idempotent_handler : callable or None
         Serves requests that must run at most once; None serves them as others.
     """
 
@@ -58,12 +58,12 @@
         settings: Settings,
         sender: AttemptSender,
         clock: Clock,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self.on_quarantine_report: QuarantineListener = _ignore_report
         self._settings = settings
         self._clock = clock
-        self._random = source
+        self._rng = rng
         self._latency = AddedLatency()
         self._forwarder = Forwarder(sender, clock, self._latency)
         self._table: RoutingTable | None = None
@@ -73,7 +73,7 @@
         self._is_draining = False
         self._is_closed = False
         self.ready = asyncio.Event()
-        self.once_handler: OnceHandler | None = None
+        self.non_idempotent_handler: NonIdempotentHandler | None = None
 
     @property
     def in_flight(self) -> int:
@@ -109,11 +109,11 @@
         self._is_draining = self._is_closed = True
 
     def end_requests(self) -> int:
-        """End all requests in flight with a refusal; return their number."""
+        """End all requests in flight with an error answer; return their number."""
         self.close()
         return self._in_flight_requests.end_requests()
 
-    def swap_table(self, table: RoutingTable) -> None:
+    def replace_table(self, table: RoutingTable) -> None:
         """Replace the routing table; requests in flight keep theirs."""
         now_ms = self._clock.monotonic_ms()
         for name, service in table.services.items():
@@ -130,7 +130,7 @@
             table.shares,
             self._settings.data_centre,
             self._settings.instance,
-            self._random,
+            self._rng,
             on_report=self._publish_quarantine,
         )
         pool.replace_endpoints(self._directory.endpoints_of(name), now_ms)
@@ -139,7 +139,7 @@
     def _publish_quarantine(self, report: QuarantineReport) -> None:
         self.on_quarantine_report(report)
 
-    def swap_directory(self, directory: Directory) -> None:
+    def replace_directory(self, directory: Directory) -> None:
         """Replace the directory and update the pools of changed services."""
         now_ms = self._clock.monotonic_ms()
         self._directory = directory
@@ -168,8 +168,12 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Handle one request of a caller."""
-        result = STOPPING if self._is_closed else await self._serve_until_ended(request)
-        response = make_answer(result) if isinstance(result, Refusal) else result
+        result = (
+            STOPPING_ANSWER
+            if self._is_closed
+            else await self._serve_until_ended(request)
+        )
+        response = make_answer(result) if isinstance(result, ErrorAnswer) else result
         if (
             self._is_draining
             and not response.prepared
@@ -180,7 +184,7 @@
 
     async def _serve_until_ended(
         self, request: web.BaseRequest
-    ) -> web.StreamResponse | Refusal:
+    ) -> web.StreamResponse | ErrorAnswer:
         entry = InFlightRequest()
         try:
             async with entry.timeout:
@@ -189,7 +193,7 @@
         except TimeoutError:
             if not entry.timeout.expired():
                 raise
-            return entry.final_refusal()
+            return entry.make_shutdown_answer()
         finally:
             self._in_flight_requests.remove(entry)
 
@@ -201,37 +205,39 @@
 
     async def _serve(
         self, request: web.BaseRequest, entry: InFlightRequest
-    ) -> web.StreamResponse | Refusal:
+    ) -> web.StreamResponse | ErrorAnswer:
         if not self.ready.is_set():
             await self._wait_until_ready()
         call = self._match_route(request)
-        if isinstance(call, Refusal):
+        if isinstance(call, ErrorAnswer):
             return call
         entry.call = call
-        refusal = await self._read_body(request, call)
-        if refusal is not None:
-            return refusal
-        if not call.match.idempotent and self.once_handler is not None:
-            entry.is_at_owner = True
-            return await self.once_handler(call)
+        error_answer = await self._read_body(request, call)
+        if error_answer is not None:
+            return error_answer
+        if not call.match.idempotent and self.non_idempotent_handler is not None:
+            entry.is_sent_to_owner = True
+            return await self.non_idempotent_handler(call)
         return await self.run(request, call)
 
-    async def run_single(self, call: Call) -> RunResult:
+    async def run_non_idempotent(self, call: Call) -> RunResult:
         """Run a request that must run at most once."""
         pool = self._pools[call.match.service.name]
         entry = InFlightRequest(call=call, is_owner_run=True)
         try:
             async with entry.timeout:
                 self._in_flight_requests.add(entry)
-                return await run_single(pool, self._forwarder, call, self._clock)
+                return await run_non_idempotent(
+                    pool, self._forwarder, call, self._clock
+                )
         except TimeoutError:
             if not entry.timeout.expired():
                 raise
-            return RunFailed(bytes_sent=entry.may_have_run)
+            return RunFailed(may_have_run=entry.may_have_run)
         finally:
             self._in_flight_requests.remove(entry)
 
-    def _match_route(self, request: web.BaseRequest) -> Call | Refusal:
+    def _match_route(self, request: web.BaseRequest) -> Call | ErrorAnswer:
         arrived_ms = self._clock.monotonic_ms()
         table = self._table
         if table is None:
@@ -254,11 +260,13 @@
             match,
             budget,
             arrived_ms,
-            is_resend=is_resend(request),
-            is_draining=self._is_draining,
+            is_client_retry=is_client_retry(request),
+            closes_connection=self._is_draining,
         )
 
-    async def _read_body(self, request: web.BaseRequest, call: Call) -> Refusal | None:
+    async def _read_body(
+        self, request: web.BaseRequest, call: Call
+    ) -> ErrorAnswer | None:
         if not request.body_exists:
             return None
         started_ms = self._clock.monotonic_ms()
@@ -267,15 +275,15 @@
         remaining_ms = call.remaining_ms(started_ms)
         try:
             async with asyncio.timeout(max(0.0, remaining_ms) / MS_PER_S):
-                refusal = await buffer_body(request, call)
+                error_answer = await buffer_body(request, call)
         except TimeoutError:
             return not_run(408, "body_too_slow", None)
         call.waited_ms += self._clock.monotonic_ms() - started_ms
-        return refusal
+        return error_answer
 
     async def run(
         self, request: web.BaseRequest | None, call: Call
-    ) -> web.StreamResponse | Refusal:
+    ) -> web.StreamResponse | ErrorAnswer:
         """Send attempts until one is answered or no retry is allowed.
 
         Parameters
--- a/azurestep/traffic/relay.py
+++ b/azurestep/traffic/relay.py
@@ -17,7 +17,7 @@
 )
 from .backend_answer import BackendAnswer, BodyTruncatedError
 from .call import Call
-from .caller_answer import WrittenCallback, make_streamed_answer, make_whole_answer
+from .caller_answer import WrittenCallback, make_buffered_answer, make_streamed_answer
 from .caller_connection import has_pipelined_request
 
 MAX_SMALL_BODY_BYTES = 64 * 1024
@@ -58,7 +58,7 @@
         Monotonic time in milliseconds.
     on_written : callable
         Called once, after the head or the whole answer was written.
-    is_final : bool
+    forbids_retry : bool
         Whether hops above must not retry.
     delivered_bytes : int
         Bytes of the current answer sent to the caller.
@@ -73,7 +73,7 @@
     resume: ResumeCallback
     now_ms: Callable[[], float]
     on_written: WrittenCallback
-    is_final: bool = False
+    forbids_retry: bool = False
     delivered_bytes: int = 0
     resumptions: int = 0
     end: RelayEnd = RelayEnd.WHOLE
@@ -95,8 +95,8 @@
         length = answer.length
         is_small = length is not None and length <= MAX_SMALL_BODY_BYTES
         if is_small or answer.is_received or request is None:
-            response = make_whole_answer(
-                answer, await self._read_whole(), self.is_final
+            response = make_buffered_answer(
+                answer, await self._read_whole(), self.forbids_retry
             )
             response.on_written = self.on_written
             return response
@@ -113,8 +113,8 @@
             raise BodyTruncatedError from error
 
     async def _relay_stream(self, request: web.BaseRequest) -> web.StreamResponse:
-        response = make_streamed_answer(self.answer, self.is_final)
-        if self.call.is_draining and not has_pipelined_request(request.protocol):
+        response = make_streamed_answer(self.answer, self.forbids_retry)
+        if self.call.closes_connection and not has_pipelined_request(request.protocol):
             response.force_close()
         await response.prepare(request)
         self.on_written()
--- a/azurestep/traffic/request_body.py
+++ b/azurestep/traffic/request_body.py
@@ -4,11 +4,11 @@
 
 from aiohttp import web
 
-from .answers import Refusal, not_run
+from .answers import ErrorAnswer, not_run
 from .call import MAX_BUFFERED_BODY_BYTES, Call
 
 
-async def buffer_body(request: web.BaseRequest, call: Call) -> Refusal | None:
+async def buffer_body(request: web.BaseRequest, call: Call) -> ErrorAnswer | None:
     """Buffer the body for retries.
 
     A larger body is streamed if the request is idempotent, and refused otherwise.
--- a/azurestep/traffic/request_head.py
+++ b/azurestep/traffic/request_head.py
@@ -7,7 +7,7 @@
 from .call import Call
 
 CONNECTION = "Connection"
-REPLACED_HEADERS = headers.HOP_BY_HOP | {
+OMITTED_HEADERS = headers.HOP_BY_HOP | {
     "content-length",
     "expect",
     headers.DEADLINE_MS.lower(),
@@ -30,7 +30,7 @@
     extra : mapping of str to str, optional
         Headers that replace the caller's.
     """
-    skipped = REPLACED_HEADERS
+    skipped = OMITTED_HEADERS
     if CONNECTION in call.fields:
         skipped = skipped | connection_options(call.fields.getall(CONNECTION))
     if extra:
--- a/azurestep/traffic/single_run.py
+++ b/azurestep/traffic/single_run.py
@@ -7,7 +7,7 @@
 from ..balancing import OutcomeKind
 from ..environment import Clock
 from ..once.messages import Header, KeptAnswer
-from .answers import Refusal
+from .answers import ErrorAnswer
 from .attempt import NOT_RUN_KINDS
 from .backend_answer import BackendAnswer, BodyTruncatedError
 from .call import Call
@@ -32,30 +32,30 @@
 
     Attributes
     ----------
-    bytes_sent : bool
+    may_have_run : bool
         Whether a backend server may have run the request.
     """
 
-    bytes_sent: bool
+    may_have_run: bool
 
 
 RunResult = RunAnswered | RunFailed
 
 
-async def run_single(
+async def run_non_idempotent(
     pool: ServicePool, forwarder: Forwarder, call: Call, clock: Clock
 ) -> RunResult:
     """Run a call once; try another backend server only if it did not run."""
-    if forwarder.find_refusal(pool, call) is not None:
-        return RunFailed(bytes_sent=False)
+    if forwarder.check_limits(pool, call) is not None:
+        return RunFailed(may_have_run=False)
     for _ in range(call.match.service.retry.max_attempts):
         sent = await forwarder.send_attempt(pool, call)
-        if isinstance(sent, Refusal):
-            return RunFailed(bytes_sent=False)
+        if isinstance(sent, ErrorAnswer):
+            return RunFailed(may_have_run=False)
         result = await _result_of(forwarder, sent, call, clock)
         if result is not None:
             return result
-    return RunFailed(bytes_sent=False)
+    return RunFailed(may_have_run=False)
 
 
 async def _result_of(
@@ -65,10 +65,10 @@
     kind = OutcomeKind.CANCELLED
     attempt = sent.attempt
     try:
-        if attempt.response is None or attempt.kind in NOT_RUN_KINDS:
+        if attempt.answer is None or attempt.kind in NOT_RUN_KINDS:
             kind = attempt.kind
-            return None if kind in NOT_RUN_KINDS else RunFailed(bytes_sent=True)
-        result = await _read_answer(attempt.response, call, clock)
+            return None if kind in NOT_RUN_KINDS else RunFailed(may_have_run=True)
+        result = await _read_answer(attempt.answer, call, clock)
         is_truncated = isinstance(result, RunFailed)
         kind = OutcomeKind.RESET if is_truncated else attempt.kind
         return result
@@ -76,15 +76,15 @@
         forwarder.finish(sent, kind)
 
 
-async def _read_answer(response: BackendAnswer, call: Call, clock: Clock) -> RunResult:
+async def _read_answer(answer: BackendAnswer, call: Call, clock: Clock) -> RunResult:
     remaining_s = max(0.0, call.remaining_ms(clock.monotonic_ms())) / MS_PER_S
     try:
         async with asyncio.timeout(remaining_s):
-            body = await response.read_up_to(MAX_ANSWER_BYTES)
+            body = await answer.read_up_to(MAX_ANSWER_BYTES)
     except (BodyTruncatedError, TimeoutError):
-        return RunFailed(bytes_sent=True)
+        return RunFailed(may_have_run=True)
     if body is None:
-        return RunAnswered(KeptAnswer(response.status, trimmed=True))
-    fields = end_to_end_headers(response.headers, ("content-length",))
+        return RunAnswered(KeptAnswer(answer.status, trimmed=True))
+    fields = end_to_end_headers(answer.headers, ("content-length",))
     kept = tuple(Header(name, value) for name, value in fields.items())
-    return RunAnswered(KeptAnswer(response.status, kept, body))
+    return RunAnswered(KeptAnswer(answer.status, kept, body))
--- a/azurestep/traffic/table.py
+++ b/azurestep/traffic/table.py
@@ -42,7 +42,7 @@
         return self.route.priority
 
 
-def takes_non_idempotent(route: Route) -> bool:
+def accepts_non_idempotent(route: Route) -> bool:
     """Return whether a route accepts requests that must run at most once."""
     if route.idempotent is not None:
         return not route.idempotent
@@ -86,13 +86,13 @@
             routes.sort(key=_specificity, reverse=True)
 
     @property
-    def once_services(self) -> frozenset[str]:
+    def non_idempotent_services(self) -> frozenset[str]:
         """Services that accept requests which must run at most once."""
         return frozenset(
             route.service
             for routes in self._routes.values()
             for route in routes
-            if takes_non_idempotent(route)
+            if accepts_non_idempotent(route)
         )
 
     def match(
--- a/azurestep/traffic/under_way.py
+++ b/azurestep/traffic/under_way.py
@@ -4,11 +4,11 @@
 
 import attrs
 
-from .answers import GATEWAY_TIMEOUT, CallOutcome, Refusal, not_run
+from .answers import GATEWAY_TIMEOUT, CallOutcome, ErrorAnswer, not_run
 from .call import Call
 
-STOPPING = not_run(503, "stopping", 500.0)
-CALLER_DELAY_S = 0.05
+STOPPING_ANSWER = not_run(503, "stopping", 500.0)
+CALLER_END_DELAY_S = 0.05
 """Time between the end of runs and of callers' requests, so that a payment whose run is
 ended still gets the outcome."""
 
@@ -25,26 +25,31 @@
         The request, once its route is known.
     is_owner_run : bool
         Whether this is the run of a request that its owner accepted.
-    is_at_owner : bool
+    is_sent_to_owner : bool
         Whether the request was handed to the owner of its key.
     """
 
     timeout: asyncio.Timeout = attrs.field(factory=lambda: asyncio.timeout(None))
     call: Call | None = None
     is_owner_run: bool = False
-    is_at_owner: bool = False
+    is_sent_to_owner: bool = False
 
     @property
     def may_have_run(self) -> bool:
         """Whether a backend server may have run the request."""
-        return self.is_at_owner or (self.call is not None and self.call.may_have_run)
+        return self.is_sent_to_owner or (
+            self.call is not None and self.call.may_have_run
+        )
 
-    def final_refusal(self) -> Refusal:
-        """Return the refusal of a request that the shutdown ended."""
+    def make_shutdown_answer(self) -> ErrorAnswer:
+        """Return the error answer of a request that the shutdown ended."""
         if not self.may_have_run:
-            return STOPPING
-        return Refusal(
-            GATEWAY_TIMEOUT, CallOutcome.MAY_HAVE_RUN, STOPPING.reason, is_final=True
+            return STOPPING_ANSWER
+        return ErrorAnswer(
+            GATEWAY_TIMEOUT,
+            CallOutcome.MAY_HAVE_RUN,
+            STOPPING_ANSWER.reason,
+            forbids_retry=True,
         )
 
 
@@ -69,6 +74,6 @@
         """Expire the timeouts of all requests; return their number."""
         now_s = asyncio.get_running_loop().time()
         for request in self._requests:
-            wait_s = 0.0 if request.is_owner_run else CALLER_DELAY_S
+            wait_s = 0.0 if request.is_owner_run else CALLER_END_DELAY_S
             request.timeout.reschedule(now_s + wait_s)
         return len(self._requests)
--- a/bench/amplification.py
+++ b/bench/amplification.py
@@ -63,7 +63,7 @@
 class NoBudget(RetryBudget):
     """Allows every retry."""
 
-    def spend(self, now_ms: float) -> bool:
+    def try_spend(self, now_ms: float) -> bool:
         """Allow the retry."""
         return True
 
@@ -105,18 +105,18 @@
                 idempotent=True,
                 bytes_delivered=0,
                 remaining_ms=1000.0,
-                marked_final=final and self.policy.nearest_hop,
+                retried_upstream=final and self.policy.nearest_hop,
             )
             rule = RetryRule(ATTEMPTS, RATIO)
             decision = decide_retry(attempt, rule, budget, self.now_ms)
             if not isinstance(decision, Retry):
-                return False, decision.mark_final
+                return False, decision.forbids_retry
 
     def _enters(self, budget: RetryBudget, resend: bool) -> bool:
         if not resend:
             budget.earn()
             return True
-        return budget.spend(self.now_ms)
+        return budget.try_spend(self.now_ms)
 
 
 def measure(
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -17,13 +17,13 @@
 
 from azurestep.balancing import (
     Admission,
+    AdmissionRequest,
+    AttemptOutcome,
     Discipline,
     Endpoint,
     EndpointKey,
     LimiterKind,
-    Outcome,
     OutcomeKind,
-    RequestArrived,
 )
 from azurestep.config.model import ClassShares, Priority, Service
 
@@ -121,11 +121,11 @@
     admission.replace_endpoints(_endpoints(endpoints), 0.0)
     running = []
     times_us = []
-    outcome = Outcome(OutcomeKind.SUCCESS, 5.0)
+    outcome = AttemptOutcome(OutcomeKind.SUCCESS, 5.0)
     for number in range(rounds):
         now_ms = 0.5 * number
         begun_ns = time.perf_counter_ns()
-        request = RequestArrived(Priority.INTERACTIVE, now_ms, now_ms + 500.0)
+        request = AdmissionRequest(Priority.INTERACTIVE, now_ms, now_ms + 500.0)
         running.append(admission.request(request).ticket)
         if len(running) > endpoints:
             admission.finish(running.pop(0), outcome, now_ms)
--- a/bench/overload_runs.py
+++ b/bench/overload_runs.py
@@ -168,7 +168,7 @@
             options = {
                 "limiter": policy.limiter,
                 "discipline": policy.discipline,
-                "throttled": policy.throttled,
+                "allow_throttle": policy.throttled,
             }
             node = decision_node(node, f"i{number}", service, **options)
         nodes.append(node)
--- a/bench/queueing_nodes.py
+++ b/bench/queueing_nodes.py
@@ -7,16 +7,16 @@
 
 from azurestep.balancing import (
     Admission,
+    AdmissionRequest,
     Admitted,
+    AttemptOutcome,
     Dropped,
     FailedAttempt,
     Granted,
     LoadReport,
-    Outcome,
     OutcomeKind,
     Queued,
-    Release,
-    RequestArrived,
+    QueueResult,
     Retry,
     RetryBudget,
     Ticket,
@@ -167,7 +167,7 @@
 
     def _ask(self, request: CallerRequest) -> None:
         now_ms = self.timeline.now_ms
-        arrived = RequestArrived(
+        arrived = AdmissionRequest(
             request.priority, now_ms, request.deadline_ms, request.tried
         )
         decision = self.admission.request(arrived)
@@ -184,21 +184,21 @@
     def _expire(self) -> None:
         self._take(self.admission.tick(self.timeline.now_ms))
 
-    def _take(self, releases: list[Release]) -> None:
-        for release in releases:
-            request = self._pending.pop(release.ticket)
-            if isinstance(release, Granted):
-                self._send(release.ticket, request)
-            elif isinstance(release, Dropped):
+    def _take(self, results: list[QueueResult]) -> None:
+        for result in results:
+            request = self._pending.pop(result.ticket)
+            if isinstance(result, Granted):
+                self._send(result.ticket, request)
+            elif isinstance(result, Dropped):
                 self.end(request, "refused")
 
     def _send(self, ticket: Ticket, request: CallerRequest) -> None:
         def answer(kind: OutcomeKind, latency_ms: float) -> None:
             now_ms = self.timeline.now_ms
-            outcome = Outcome(kind, latency_ms)
-            releases = self.admission.finish(ticket, outcome, now_ms)
+            outcome = AttemptOutcome(kind, latency_ms)
+            results = self.admission.finish(ticket, outcome, now_ms)
             self._conclude(request, kind)
-            self._take(releases)
+            self._take(results)
 
         self.send(request, self._by_key[ticket.endpoint.key], answer)
 
@@ -213,7 +213,7 @@
             idempotent=request.idempotent,
             bytes_delivered=0,
             remaining_ms=request.deadline_ms - now_ms,
-            expected_ms=self.admission.expected_ms,
+            estimated_ms=self.admission.expected_ms,
         )
         rule = self.service.retry
         if isinstance(decide_retry(attempt, rule, self.budget, now_ms), Retry):
--- a/tests/fixtures_traffic.py
+++ b/tests/fixtures_traffic.py
@@ -121,7 +121,7 @@
     scripts: list[list[bytes | float | None]]
     requests: list[bytes] = attrs.Factory(list)
     connections: int = 0
-    lost: int = 0
+    disconnects: int = 0
     server: asyncio.Server | None = None
 
     @property
@@ -148,9 +148,9 @@
                 else:
                     await asyncio.sleep(step)
             await reader.read()
-            self.lost += 1
+            self.disconnects += 1
         except (OSError, asyncio.IncompleteReadError):
-            self.lost += 1
+            self.disconnects += 1
         finally:
             writer.close()
 
--- a/tests/test_balancing_bench.py
+++ b/tests/test_balancing_bench.py
@@ -24,10 +24,10 @@
 @pytest.mark.parametrize("node_count", [6, 120])
 def test_overload_serves_more_than_the_baseline(node_count):
     scenario = Scenario("overload", 4.0, duration_ms=4000.0, node_count=node_count)
-    ours, theirs = run(scenario, DECISIONS), run(scenario, ROUND_ROBIN)
-    assert ours.good_ratio > 1.1 * theirs.good_ratio
-    assert ours.good_by_class["payment"] > 0.8
-    assert ours.refusal_p99_ms < 150.0
+    decisions, round_robin = run(scenario, DECISIONS), run(scenario, ROUND_ROBIN)
+    assert decisions.good_ratio > 1.1 * round_robin.good_ratio
+    assert decisions.good_by_class["payment"] > 0.8
+    assert decisions.refusal_p99_ms < 150.0
 
 
 def test_nothing_is_refused_without_overload():
@@ -40,18 +40,18 @@
     assert run(scenario, DECISIONS) == run(scenario, DECISIONS)
 
 
-def test_retries_multiply_unless_both_rules_are_active():
-    neither, _, nearest, both = (
+def test_retries_multiply_unless_budget_and_final_header_limit_them():
+    no_rules, _, nearest_hop, both_rules = (
         amplification.measure(policy, 6, 1.0, 200) for policy in amplification.POLICIES
     )
-    assert neither.reached == 64.0
-    assert nearest.reached == 2.0
-    assert both.reached < 1.2
+    assert no_rules.reached == 64.0
+    assert nearest_hop.reached == 2.0
+    assert both_rules.reached < 1.2
 
 
 def test_quarantine_bounds_the_servers_that_one_request_crashes():
     scenario = QuarantineScenario("poison", poison=True, herd=0)
-    free = Trial(scenario, QuarantinePolicy("none", 0), 1).run()
-    bound = Trial(scenario, QuarantinePolicy("two", 2), 1).run()
-    assert free.taken_down > 20
-    assert bound.taken_down <= 3
+    without = Trial(scenario, QuarantinePolicy("none", 0), 1).run()
+    with_quarantine = Trial(scenario, QuarantinePolicy("two", 2), 1).run()
+    assert without.taken_down > 20
+    assert with_quarantine.taken_down <= 3
--- a/tests/test_balancing_choice.py
+++ b/tests/test_balancing_choice.py
@@ -9,17 +9,17 @@
 from hypothesis import strategies as st
 
 from azurestep.balancing import (
+    AttemptOutcome,
     Balancer,
     Endpoint,
     EndpointKey,
     LoadReport,
-    Outcome,
     OutcomeKind,
 )
 from azurestep.config.model import LimitRule, SelectionRule, Service
 
-GOOD = Outcome(OutcomeKind.SUCCESS, 10.0)
-BAD = Outcome(OutcomeKind.ERROR, 1.0)
+GOOD = AttemptOutcome(OutcomeKind.SUCCESS, 10.0)
+BAD = AttemptOutcome(OutcomeKind.ERROR, 1.0)
 
 
 def endpoint(number, data_centre="dc1", **changes):
@@ -40,7 +40,7 @@
     state = balancer.choose(avoid)
     balancer.start(state)
     balancer.finish(state.endpoint, outcome_of(state.endpoint), now_ms)
-    balancer.review(now_ms)
+    balancer.run_health_checks(now_ms)
     return state.endpoint.key.port - 8000
 
 
@@ -55,7 +55,7 @@
 def run_idle(balancer, start_ms, end_ms):
     """Run the reviews of a period without calls."""
     for now_ms in range(start_ms, end_ms, 250):
-        balancer.review(float(now_ms))
+        balancer.run_health_checks(float(now_ms))
 
 
 def test_requests_stay_local_below_the_spill_over_ratio():
@@ -93,16 +93,16 @@
 
 
 def test_a_new_backend_server_starts_with_a_small_share():
-    new = endpoint(2, announced_ms=1000.0)
+    new = endpoint(2, first_seen_ms=1000.0)
     balancer = make_balancer([endpoint(0), endpoint(1), new], ramp_up_ms=5000)
-    balancer.review(1500.0)
+    balancer.run_health_checks(1500.0)
     seen = Counter()
     for _ in range(12):
         state = balancer.choose()
         balancer.start(state)
         seen[state.endpoint.key.port - 8000] += 1
     assert seen[2] <= 1
-    balancer.review(7000.0)
+    balancer.run_health_checks(7000.0)
     for _ in range(15):
         balancer.start(balancer.choose())
     assert balancer.choose().endpoint.key.port == 8002
@@ -114,7 +114,7 @@
     assert seen[0] < 30
 
 
-@pytest.mark.parametrize("outcome", [BAD, Outcome(OutcomeKind.SUCCESS, 500.0)])
+@pytest.mark.parametrize("outcome", [BAD, AttemptOutcome(OutcomeKind.SUCCESS, 500.0)])
 def test_one_bad_answer_does_not_exclude_a_server_permanently(outcome):
     balancer = make_balancer([endpoint(n) for n in range(3)])
     count_calls(balancer, lambda _: GOOD)
@@ -127,7 +127,7 @@
 
 def test_a_latency_outlier_is_ejected_and_restored():
     balancer = make_balancer([endpoint(n) for n in range(4)], ejection_ms=2000)
-    slow = Outcome(OutcomeKind.SUCCESS, 200.0)
+    slow = AttemptOutcome(OutcomeKind.SUCCESS, 200.0)
     seen = count_calls(balancer, lambda one: slow if one.key.port == 8000 else GOOD)
     assert seen[0] < 60
     run_idle(balancer, 6000, 30_000)
@@ -235,11 +235,11 @@
             known[number] = attrs.evolve(known[number], leaving=action == "leave")
             balancer.replace(known.values(), now_ms)
         elif action == "review":
-            balancer.review(now_ms)
+            balancer.run_health_checks(now_ms)
         elif action == "free" and held:
-            balancer.finish(held.pop(), Outcome(kind, 5.0), now_ms)
+            balancer.finish(held.pop(), AttemptOutcome(kind, 5.0), now_ms)
         else:
-            _use(balancer, held, action, Outcome(kind, 5.0), now_ms)
+            _use(balancer, held, action, AttemptOutcome(kind, 5.0), now_ms)
         _check(balancer, held, known)
 
 
--- a/tests/test_balancing_core.py
+++ b/tests/test_balancing_core.py
@@ -6,25 +6,25 @@
 
 from azurestep.balancing import (
     Admission,
+    AdmissionRequest,
     Admitted,
+    AttemptOutcome,
     Dropped,
     Endpoint,
     EndpointKey,
     Granted,
-    Outcome,
     OutcomeKind,
     Queued,
     RefusalReason,
     Refused,
-    RequestArrived,
 )
 from azurestep.config.model import ClassShares, LimitRule, Priority, Service
 
-SUCCESS = Outcome(OutcomeKind.SUCCESS, 5.0)
+SUCCESS = AttemptOutcome(OutcomeKind.SUCCESS, 5.0)
 
 
 def request_at(now_ms, priority=Priority.INTERACTIVE, timeout_ms=1000.0, avoid=()):
-    return RequestArrived(priority, now_ms, now_ms + timeout_ms, avoid)
+    return AdmissionRequest(priority, now_ms, now_ms + timeout_ms, avoid)
 
 
 @pytest.fixture
@@ -76,7 +76,9 @@
 
 def test_a_queued_request_is_dropped_when_it_would_miss_its_deadline(admission):
     admitted = fill(admission)
-    admission.finish(admitted[0].ticket, Outcome(OutcomeKind.SUCCESS, 50.0), 60.0)
+    admission.finish(
+        admitted[0].ticket, AttemptOutcome(OutcomeKind.SUCCESS, 50.0), 60.0
+    )
     admission.request(request_at(61.0))
     waiting = admission.request(request_at(61.0, timeout_ms=300.0))
     assert admission.next_tick_ms() == 311.0
--- a/tests/test_balancing_limits.py
+++ b/tests/test_balancing_limits.py
@@ -6,15 +6,15 @@
 
 from azurestep.balancing import (
     Admission,
+    AdmissionRequest,
     Admitted,
+    AttemptOutcome,
     Endpoint,
     EndpointKey,
     LimiterKind,
-    Outcome,
     OutcomeKind,
     RefusalReason,
     Refused,
-    RequestArrived,
 )
 from azurestep.balancing.endpoint_state import EndpointState
 from azurestep.balancing.limiter import make_limiter
@@ -35,7 +35,7 @@
     """Record an attempt every 20 ms; return the time of the next one."""
     state.in_flight = 12
     for number in range(count):
-        state.record_outcome(Outcome(kind, latency_ms), start_ms + 20.0 * number)
+        state.record_outcome(AttemptOutcome(kind, latency_ms), start_ms + 20.0 * number)
     return start_ms + 20.0 * count
 
 
@@ -59,7 +59,7 @@
         assert 1.0 <= state.limiter.limit <= 12.0
 
 
-def test_fast_refusals_do_not_lower_the_baseline(state):
+def test_fast_refusals_and_errors_do_not_lower_the_limit(state):
     now_ms = observe(state, OutcomeKind.SUCCESS, 50.0, 200)
     now_ms = observe(state, OutcomeKind.SHED, 1.0, 200, now_ms)
     now_ms = observe(state, OutcomeKind.ERROR, 1.0, 200, now_ms)
@@ -75,8 +75,8 @@
 
 def make_admission(slots, limiter=None):
     service = Service("songs", limits=LimitRule(slots=slots))
-    source = random.Random(5)
-    admission = Admission(service, ClassShares(), "dc1", "i0", source, limiter=limiter)
+    rng = random.Random(5)
+    admission = Admission(service, ClassShares(), "dc1", "i0", rng, limiter=limiter)
     endpoint = Endpoint(KEY, "songs", "i1", "dc1", slots)
     admission.replace_endpoints([endpoint], 0.0)
     return admission
@@ -87,16 +87,16 @@
     return make_admission(64)
 
 
-def drive(admission, kind, latency_ms, count, start_ms):
+def send_requests(admission, kind, latency_ms, count, start_ms):
     """Send one request at a time; return the share admitted."""
     admitted = 0
     for number in range(count):
         now_ms = start_ms + 100.0 * number
-        request = RequestArrived(Priority.BULK, now_ms, now_ms + 1000.0)
+        request = AdmissionRequest(Priority.BULK, now_ms, now_ms + 1000.0)
         decision = admission.request(request)
         if isinstance(decision, Admitted):
             admitted += 1
-            outcome = Outcome(kind, latency_ms)
+            outcome = AttemptOutcome(kind, latency_ms)
             admission.finish(decision.ticket, outcome, now_ms + latency_ms)
         else:
             assert isinstance(decision, Refused)
@@ -106,73 +106,75 @@
 
 @pytest.mark.parametrize("kind", [OutcomeKind.SUCCESS, OutcomeKind.SHED])
 def test_a_node_with_one_request_at_a_time_still_sheds_load(admission, kind):
-    drive(admission, OutcomeKind.SUCCESS, 20.0, 100, 0.0)
-    drive(admission, kind, 400.0, 100, 20_000.0)
-    assert drive(admission, kind, 400.0, 200, 40_000.0) < 0.3
+    send_requests(admission, OutcomeKind.SUCCESS, 20.0, 100, 0.0)
+    send_requests(admission, kind, 400.0, 100, 20_000.0)
+    assert send_requests(admission, kind, 400.0, 200, 40_000.0) < 0.3
 
 
 def test_the_throttle_sheds_load_at_the_minimum_limit():
     admission = make_admission(1)
-    drive(admission, OutcomeKind.SUCCESS, 20.0, 100, 0.0)
-    drive(admission, OutcomeKind.SUCCESS, 90.0, 100, 20_000.0)
-    assert drive(admission, OutcomeKind.SUCCESS, 90.0, 200, 40_000.0) < 0.3
+    send_requests(admission, OutcomeKind.SUCCESS, 20.0, 100, 0.0)
+    send_requests(admission, OutcomeKind.SUCCESS, 90.0, 100, 20_000.0)
+    assert send_requests(admission, OutcomeKind.SUCCESS, 90.0, 200, 40_000.0) < 0.3
 
 
 def test_rare_long_answers_are_not_an_overload(admission):
-    source = random.Random(11)
+    rng = random.Random(11)
     refused = 0
     for number in range(3000):
         now_ms = 400.0 * number
-        latency_ms = 320.0 if source.random() < 0.1 else 20.0
-        request = RequestArrived(Priority.BULK, now_ms, now_ms + 2000.0)
+        latency_ms = 320.0 if rng.random() < 0.1 else 20.0
+        request = AdmissionRequest(Priority.BULK, now_ms, now_ms + 2000.0)
         decision = admission.request(request)
         if isinstance(decision, Refused):
             refused += 1
             continue
-        kind = OutcomeKind.TIMEOUT if source.random() < 0.02 else OutcomeKind.SUCCESS
-        outcome = Outcome(kind, latency_ms)
+        kind = OutcomeKind.TIMEOUT if rng.random() < 0.02 else OutcomeKind.SUCCESS
+        outcome = AttemptOutcome(kind, latency_ms)
         admission.finish(decision.ticket, outcome, now_ms + latency_ms)
     assert refused < 30
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_few_quick_first_answers_do_not_set_the_baseline(admission, seed):
-    source = random.Random(seed)
+    rng = random.Random(seed)
     refused = 0
     for number in range(2000):
         now_ms = 200.0 * number
-        latency_ms = 2.0 if number < 3 else 50.0 * source.expovariate(1.0)
-        request = RequestArrived(Priority.BULK, now_ms, now_ms + 2000.0)
+        latency_ms = 2.0 if number < 3 else 50.0 * rng.expovariate(1.0)
+        request = AdmissionRequest(Priority.BULK, now_ms, now_ms + 2000.0)
         decision = admission.request(request)
         if isinstance(decision, Refused):
             refused += 1
             continue
-        outcome = Outcome(OutcomeKind.SUCCESS, latency_ms)
+        outcome = AttemptOutcome(OutcomeKind.SUCCESS, latency_ms)
         admission.finish(decision.ticket, outcome, now_ms + latency_ms)
     assert refused < 20
 
 
 def test_the_throttle_recovers_after_an_overload(admission):
-    drive(admission, OutcomeKind.SUCCESS, 20.0, 100, 0.0)
-    drive(admission, OutcomeKind.SHED, 1.0, 300, 20_000.0)
-    drive(admission, OutcomeKind.SUCCESS, 20.0, 600, 60_000.0)
-    assert drive(admission, OutcomeKind.SUCCESS, 20.0, 100, 200_000.0) == 1.0
+    send_requests(admission, OutcomeKind.SUCCESS, 20.0, 100, 0.0)
+    send_requests(admission, OutcomeKind.SHED, 1.0, 300, 20_000.0)
+    send_requests(admission, OutcomeKind.SUCCESS, 20.0, 600, 60_000.0)
+    assert send_requests(admission, OutcomeKind.SUCCESS, 20.0, 100, 200_000.0) == 1.0
 
 
-@pytest.mark.parametrize("limited", [True, False])
-def test_the_throttle_stays_open_while_the_limits_are_binding(limited):
+@pytest.mark.parametrize("limits_are_effective", [True, False])
+def test_the_throttle_admits_everything_while_the_limits_are_effective(
+    limits_are_effective,
+):
     throttle = Throttle()
     for number in range(1000):
         now_ms = 600.0 + 10.0 * number
         latency_ms = 20.0 if number < 200 else 400.0
-        outcome = Outcome(OutcomeKind.SUCCESS, latency_ms)
+        outcome = AttemptOutcome(OutcomeKind.SUCCESS, latency_ms)
         if throttle.record(outcome, now_ms):
-            throttle.update_ratio(limited, now_ms)
-    assert (throttle.admitted_ratio == 1.0) is limited
+            throttle.update_ratio(limits_are_effective, now_ms)
+    assert (throttle.admitted_ratio == 1.0) is limits_are_effective
 
 
 def test_the_throttle_admits_everything_without_overload(admission):
-    assert drive(admission, OutcomeKind.SUCCESS, 20.0, 500, 0.0) == 1.0
+    assert send_requests(admission, OutcomeKind.SUCCESS, 20.0, 500, 0.0) == 1.0
 
 
 def test_the_throttle_sheds_bulk_first_and_payment_last():
@@ -180,7 +182,7 @@
     kinds = [Priority.BULK, Priority.INTERACTIVE, Priority.INTERACTIVE]
     kinds.append(Priority.PAYMENT)
     admitted = dict.fromkeys(Priority, 0)
-    recent = 1.0
+    recent_admitted_ratio = 1.0
     running = []
     for number in range(8000):
         now_ms = 25.0 * number
@@ -188,16 +190,16 @@
             ended_ms, ticket, outcome = running.pop(0)
             assert admission.finish(ticket, outcome, ended_ms) == []
         priority = kinds[number % 4]
-        request = RequestArrived(priority, now_ms, now_ms + 1000.0)
+        request = AdmissionRequest(priority, now_ms, now_ms + 1000.0)
         decision = admission.request(request)
         passed = isinstance(decision, Admitted)
-        recent += 0.01 * (passed - recent)
+        recent_admitted_ratio += 0.01 * (passed - recent_admitted_ratio)
         if not passed:
             assert decision.reason is RefusalReason.OVERLOAD
             continue
         admitted[priority] += 1
-        latency_ms = 400.0 if number > 400 and recent > 0.6 else 20.0
-        outcome = Outcome(OutcomeKind.SUCCESS, latency_ms)
+        latency_ms = 400.0 if number > 400 and recent_admitted_ratio > 0.6 else 20.0
+        outcome = AttemptOutcome(OutcomeKind.SUCCESS, latency_ms)
         running.append((now_ms + latency_ms, decision.ticket, outcome))
         running.sort(key=lambda entry: entry[0])
     assert admitted[Priority.BULK] < 0.5 * 2000
--- a/tests/test_balancing_quarantine.py
+++ b/tests/test_balancing_quarantine.py
@@ -7,7 +7,7 @@
 from azurestep.balancing import EndpointKey, Quarantine, QuarantineStatus, fingerprint
 
 POISON = fingerprint("GET", "songs", "/songs?q=%00", b"")
-INNOCENT = fingerprint("GET", "songs", "/songs?q=a", b"")
+HARMLESS = fingerprint("GET", "songs", "/songs?q=a", b"")
 SERVERS = 6
 
 
@@ -32,69 +32,73 @@
     assert quarantine.status_of(POISON, 0.0) is QuarantineStatus.CLEAR
 
 
-@pytest.mark.parametrize(("deaths", "weigh"), [(1, False), (2, True), (3, True)])
-def test_a_request_is_refused_from_the_configured_number_of_deaths(deaths, weigh):
-    quarantine = Quarantine(deaths_to_refuse=deaths, weigh_chance=weigh)
-    for number in range(deaths):
+@pytest.mark.parametrize(
+    ("crashes", "weigh_chance"), [(1, False), (2, True), (3, True)]
+)
+def test_a_request_is_refused_from_the_configured_number_of_crashes(
+    crashes, weigh_chance
+):
+    quarantine = Quarantine(deaths_to_refuse=crashes, weigh_chance=weigh_chance)
+    for number in range(crashes):
         assert quarantine.status_of(POISON, 20_000.0) is not QuarantineStatus.REFUSED
         crash(quarantine, number, 20_000.0 * (number + 1))
-    now_ms = 20_000.0 * deaths + 10
+    now_ms = 20_000.0 * crashes + 10
     assert quarantine.status_of(POISON, now_ms) is QuarantineStatus.REFUSED
 
 
-def test_the_first_death_makes_a_suspect(quarantine):
+def test_the_first_crash_makes_the_request_a_suspect(quarantine):
     crash(quarantine, 0, 0.0)
     assert quarantine.status_of(POISON, 10.0) is QuarantineStatus.SUSPECT
 
 
-def test_the_same_death_counts_once(quarantine):
+def test_the_same_crash_counts_once(quarantine):
     for _ in range(3):
         crash(quarantine, 0, 0.0)
     assert quarantine.status_of(POISON, 10.0) is QuarantineStatus.SUSPECT
 
 
-def test_a_lost_connection_alone_is_no_death(quarantine):
+def test_a_lost_connection_alone_is_no_crash(quarantine):
     for number in range(5):
-        quarantine.record_loss(INNOCENT, server(number), 0.0)
+        quarantine.record_loss(HARMLESS, server(number), 0.0)
         quarantine.record_alive(server(number))
-    assert quarantine.status_of(INNOCENT, 1.0) is QuarantineStatus.CLEAR
+    assert quarantine.status_of(HARMLESS, 1.0) is QuarantineStatus.CLEAR
     assert not quarantine.active
 
 
-def test_an_unproven_loss_expires(quarantine):
-    quarantine.record_loss(INNOCENT, server(0), 0.0)
-    assert quarantine.status_of(INNOCENT, 1.0) is QuarantineStatus.SUSPECT
-    assert quarantine.status_of(INNOCENT, 11_000.0) is QuarantineStatus.CLEAR
+def test_a_lost_connection_without_a_confirmed_crash_expires(quarantine):
+    quarantine.record_loss(HARMLESS, server(0), 0.0)
+    assert quarantine.status_of(HARMLESS, 1.0) is QuarantineStatus.SUSPECT
+    assert quarantine.status_of(HARMLESS, 11_000.0) is QuarantineStatus.CLEAR
 
 
 def test_a_request_that_is_answered_elsewhere_is_cleared(quarantine):
-    crash(quarantine, 0, 0.0, [POISON, INNOCENT])
-    quarantine.record_start(INNOCENT, server(1), 5.0)
-    quarantine.record_answer(INNOCENT, server(1), 9.0)
-    assert quarantine.status_of(INNOCENT, 10.0) is QuarantineStatus.CLEAR
+    crash(quarantine, 0, 0.0, [POISON, HARMLESS])
+    quarantine.record_start(HARMLESS, server(1), 5.0)
+    quarantine.record_answer(HARMLESS, server(1), 9.0)
+    assert quarantine.status_of(HARMLESS, 10.0) is QuarantineStatus.CLEAR
     assert quarantine.status_of(POISON, 10.0) is QuarantineStatus.SUSPECT
     assert len(quarantine) == 1
 
 
-def test_simultaneous_deaths_of_many_servers_blame_no_request(quarantine):
+def test_simultaneous_crashes_of_many_servers_refuse_no_request(quarantine):
     for number in range(SERVERS - 2):
         crash(quarantine, number, 10.0 * number, [1000 + number])
-    crash(quarantine, 4, 50.0, [INNOCENT])
-    crash(quarantine, 5, 60.0, [INNOCENT])
-    assert quarantine.status_of(INNOCENT, 70.0) is QuarantineStatus.SUSPECT
+    crash(quarantine, 4, 50.0, [HARMLESS])
+    crash(quarantine, 5, 60.0, [HARMLESS])
+    assert quarantine.status_of(HARMLESS, 70.0) is QuarantineStatus.SUSPECT
 
 
-def test_without_weigh_chance_simultaneous_deaths_blame_a_request():
+def test_without_weigh_chance_simultaneous_crashes_refuse_a_request():
     quarantine = Quarantine(weigh_chance=False)
     for number in range(SERVERS - 2):
         crash(quarantine, number, 10.0 * number, [1000 + number])
-    crash(quarantine, 4, 50.0, [INNOCENT])
-    crash(quarantine, 5, 60.0, [INNOCENT])
-    assert quarantine.status_of(INNOCENT, 70.0) is QuarantineStatus.REFUSED
+    crash(quarantine, 4, 50.0, [HARMLESS])
+    crash(quarantine, 5, 60.0, [HARMLESS])
+    assert quarantine.status_of(HARMLESS, 70.0) is QuarantineStatus.REFUSED
 
 
 def test_a_suspect_is_kept_apart_from_other_suspects(quarantine):
-    crash(quarantine, 0, 0.0, [POISON, INNOCENT])
+    crash(quarantine, 0, 0.0, [POISON, HARMLESS])
     quarantine.record_start(POISON, server(1), 5.0)
     assert quarantine.servers_with_suspects(6.0) == (server(1),)
     quarantine.record_end(POISON, server(1))
@@ -108,10 +112,10 @@
     assert quarantine.status_of(POISON, 700_000.0) is QuarantineStatus.CLEAR
 
 
-def test_peers_merge_refusals_and_add_up_deaths():
+def test_peers_merge_refusals_and_add_up_crashes():
     one, other, third = Quarantine(), Quarantine(), Quarantine()
-    news = crash(one, 0, 0.0)
-    other.merge(news, 1000.0, SERVERS)
+    updates = crash(one, 0, 0.0)
+    other.merge(updates, 1000.0, SERVERS)
     assert other.status_of(POISON, 1001.0) is QuarantineStatus.SUSPECT
     crash(other, 1, 20_000.0)
     assert other.status_of(POISON, 20_010.0) is QuarantineStatus.REFUSED
@@ -121,10 +125,10 @@
 
 def test_merging_again_changes_nothing():
     one, other = Quarantine(), Quarantine()
-    news = crash(one, 0, 0.0)
+    updates = crash(one, 0, 0.0)
     for _ in range(3):
-        other.merge(news, 10.0, SERVERS)
-    assert other.export(10.0) == news
+        other.merge(updates, 10.0, SERVERS)
+    assert other.export(10.0) == updates
 
 
 @settings(derandomize=True, max_examples=100)
--- a/tests/test_balancing_queueing.py
+++ b/tests/test_balancing_queueing.py
@@ -8,27 +8,27 @@
 
 from azurestep.balancing import (
     Admission,
+    AdmissionRequest,
     Admitted,
+    AttemptOutcome,
     Discipline,
     Dropped,
     Endpoint,
     EndpointKey,
     Granted,
-    Outcome,
     OutcomeKind,
     Queued,
     RefusalReason,
     Refused,
-    RequestArrived,
     TicketState,
 )
 from azurestep.config.model import ClassShares, LimitRule, Priority, Service
 
-SUCCESS = Outcome(OutcomeKind.SUCCESS, 10.0)
+SUCCESS = AttemptOutcome(OutcomeKind.SUCCESS, 10.0)
 
 
 def request_at(now_ms, priority=Priority.INTERACTIVE, timeout_ms=1000.0, avoid=()):
-    return RequestArrived(priority, now_ms, now_ms + timeout_ms, avoid)
+    return AdmissionRequest(priority, now_ms, now_ms + timeout_ms, avoid)
 
 
 def make_admission(slots=2, shares=None, **options):
@@ -55,7 +55,7 @@
     return [release.ticket for release in releases if isinstance(release, Granted)]
 
 
-def test_newest_first_order_survives_a_release_without_a_free_slot():
+def test_newest_first_order_is_kept_when_no_slot_is_free():
     admission = make_admission(discipline=Discipline.ADAPTIVE_LIFO)
     tickets = [admission.request(request_at(1.0)).ticket for _ in range(2)]
     older = admission.request(request_at(2.0)).ticket
@@ -66,7 +66,7 @@
     assert older.state is TicketState.QUEUED
 
 
-def test_a_starved_class_is_refused_on_arrival(busy):
+def test_a_class_with_an_expected_wait_beyond_its_deadline_is_refused(busy):
     admission, tickets = busy
     now_ms = 2.0
     admission.request(request_at(now_ms, Priority.BULK, 60_000.0))
@@ -186,7 +186,7 @@
         if self.running:
             ticket = self.running.pop(index % len(self.running))
             self.ended.add(ticket)
-            outcome = Outcome(kind, 5.0)
+            outcome = AttemptOutcome(kind, 5.0)
             self.take(self.admission.finish(ticket, outcome, self.now_ms))
 
     def cancel(self, _, index, __):
--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -13,9 +13,9 @@
     ProbeFirst,
     Retry,
     RetryBudget,
+    budget_for_next_hop,
+    budget_on_arrival,
     decide_retry,
-    limit_budget,
-    reduce_budget,
 )
 from azurestep.config.model import RetryRule
 
@@ -50,10 +50,10 @@
         ({"bytes_delivered": 1}, GiveUpReason.BYTES_DELIVERED),
         ({"attempts": 3}, GiveUpReason.ATTEMPTS),
         ({"remaining_ms": 0.0}, GiveUpReason.DEADLINE),
-        ({"remaining_ms": 40.0, "expected_ms": 50.0}, GiveUpReason.DEADLINE),
-        ({"marked_final": True}, GiveUpReason.FINAL_BELOW),
+        ({"remaining_ms": 40.0, "estimated_ms": 50.0}, GiveUpReason.DEADLINE),
+        ({"retried_upstream": True}, GiveUpReason.RETRIED_UPSTREAM),
         ({"suspect": True}, GiveUpReason.SUSPECT),
-        ({"kind": OutcomeKind.RESET, "server_died": True}, GiveUpReason.SUSPECT),
+        ({"kind": OutcomeKind.RESET, "server_crashed": True}, GiveUpReason.SUSPECT),
         ({"kind": OutcomeKind.CANCELLED}, GiveUpReason.CANCELLED),
     ],
 )
@@ -63,12 +63,12 @@
 
 def test_a_lost_connection_is_probed_before_a_retry():
     assert decide(kind=OutcomeKind.RESET) == ProbeFirst()
-    assert decide(kind=OutcomeKind.RESET, server_died=False) == Retry()
+    assert decide(kind=OutcomeKind.RESET, server_crashed=False) == Retry()
 
 
 def test_only_actual_retries_spend_budget():
     budget = RetryBudget(0.1, tokens=1.0)
-    decide(budget=budget, marked_final=True)
+    decide(budget=budget, retried_upstream=True)
     assert decide(budget=budget) == Retry()
     assert decide(budget=budget) == GiveUp(GiveUpReason.BUDGET, not_run=False)
 
@@ -87,7 +87,7 @@
             budget.earn()
             first += 1
         else:
-            granted += budget.spend(now_ms)
+            granted += budget.try_spend(now_ms)
     assert granted <= 10 + ratio * first + 0.001 * now_ms + 1e-6
 
 
@@ -102,7 +102,7 @@
     kind, idempotent, delivered, died
 ):
     decision = decide(
-        kind=kind, idempotent=idempotent, bytes_delivered=delivered, server_died=died
+        kind=kind, idempotent=idempotent, bytes_delivered=delivered, server_crashed=died
     )
     provably_not_run = kind in (OutcomeKind.CONNECT_FAILED, OutcomeKind.SHED)
     if not idempotent and not provably_not_run:
@@ -113,16 +113,16 @@
 
 
 def test_the_deadline_shrinks_over_eighteen_hops_and_then_ends():
-    budget = limit_budget(None, 0, 100.0)
+    budget = budget_on_arrival(None, 0, 100.0)
     for hop in range(18):
         assert not budget.expired
-        budget = reduce_budget(budget, spent_ms=3.0)
+        budget = budget_for_next_hop(budget, spent_ms=3.0)
         assert budget.depth == hop + 1
     assert budget.remaining_ms == pytest.approx(10.0)
-    assert reduce_budget(budget, spent_ms=9.0).expired
+    assert budget_for_next_hop(budget, spent_ms=9.0).expired
 
 
 def test_a_caller_cannot_extend_the_timeout_and_loops_end():
-    assert limit_budget(60_000.0, 0, 2000.0).remaining_ms == 2000.0
-    assert not limit_budget(None, 18, 2000.0).too_deep
-    assert limit_budget(None, 40, 2000.0).too_deep
+    assert budget_on_arrival(60_000.0, 0, 2000.0).remaining_ms == 2000.0
+    assert not budget_on_arrival(None, 18, 2000.0).too_deep
+    assert budget_on_arrival(None, 40, 2000.0).too_deep
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -859,7 +859,7 @@
 
 def test_answers_to_refused_requests() -> None:
     not_run = traffic_answers.not_run(503, "queue_full", 1500.5)
-    may_have_run = traffic_answers.Refusal(
+    may_have_run = traffic_answers.ErrorAnswer(
         504, traffic_answers.CallOutcome.MAY_HAVE_RUN, "timeout", None, True
     )
     found = [traffic_answers.make_answer(one) for one in (not_run, may_have_run)]
@@ -1401,7 +1401,7 @@
 
 
 def test_reasons_in_answers_without_an_enumeration() -> None:
-    found = [call for _, call in calls_of("not_run", "Refusal")]
+    found = [call for _, call in calls_of("not_run", "Refusal", "ErrorAnswer")]
     check("literal_reasons", texts_in(arg for call in found for arg in call.args))
 
 
--- a/tests/test_traffic_answers.py
+++ b/tests/test_traffic_answers.py
@@ -46,8 +46,8 @@
     rest += STRONG + b"Content-Range: bytes 9-100004/200000\r\n\r\n" + b"b" * 99_996
     server = await start_raw_server([first, 0.1, None], [rest])
     rig = await start_traffic(server.port)
-    asked = GET.replace(b"Host", b"Range: bytes=5-100004\r\nHost")
-    answer = await raw_call(rig.port, asked)
+    range_request = GET.replace(b"Host", b"Range: bytes=5-100004\r\nHost")
+    answer = await raw_call(rig.port, range_request)
 
     assert answer.partition(b"\r\n\r\n")[2] == b"aaaa" + b"b" * 99_996
     assert b"range: bytes=9-100004\r\n" in server.requests[1].lower()
@@ -69,8 +69,8 @@
     start_raw_server, start_traffic, raw_call, resumed
 ):
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n" + STRONG + b"\r\n"
-    cut = [head + b"a" * 99_991, 0.1, None]
-    server = await start_raw_server(cut, [resumed], [resumed], [resumed])
+    truncated = [head + b"a" * 99_991, 0.1, None]
+    server = await start_raw_server(truncated, [resumed], [resumed], [resumed])
     rig = await start_traffic(server.port)
     answer = await raw_call(rig.port, GET)
     assert b"b" not in answer.partition(b"\r\n\r\n")[2]
@@ -94,8 +94,8 @@
 
 
 async def test_a_small_truncated_body_is_retried(http, start_raw_server, start_traffic):
-    cut = [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", None]
-    server = await start_raw_server(cut, [OK])
+    truncated = [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", None]
+    server = await start_raw_server(truncated, [OK])
     rig = await start_traffic(server.port)
     status, _, body = await fetch(http, f"{rig.url}/songs")
     assert (status, body) == (200, b"hello")
--- a/tests/test_traffic_last_answers.py
+++ b/tests/test_traffic_last_answers.py
@@ -18,18 +18,18 @@
 from tests.fixtures_traffic import SERVICE
 
 LONG_MS = 6000
-ENDS_S = 5.0
-NARROW = attrs.evolve(SERVICE, limits=LimitRule(slots=1, queue_timeout_ms=LONG_MS))
+SHUTDOWN_TIMEOUT_S = 5.0
+ONE_SLOT = attrs.evolve(SERVICE, limits=LimitRule(slots=1, queue_timeout_ms=LONG_MS))
 RAN, MAY_HAVE_RUN, NOT_RUN = (200, False), (504, False), (503, True)
 
 
 class OtherServices:
     """A node's other services, which complete each step of a shutdown immediately."""
 
-    def __init__(self, last_moment=None):
+    def __init__(self, before_exit=None):
         self.inputs = asyncio.Queue()
-        self.cut = None
-        self.last_moment = last_moment
+        self.aborted = None
+        self.before_exit = before_exit
 
     def leave_all(self):
         return
@@ -40,10 +40,10 @@
     def begin_drain(self, in_flight):
         return
 
-    async def end_drain(self, begun, cut, handed_over, timeout_s):
-        self.cut = cut
-        if self.last_moment is not None:
-            self.last_moment()
+    async def end_drain(self, begun, aborted, handed_over, timeout_s):
+        self.aborted = aborted
+        if self.before_exit is not None:
+            self.before_exit()
             await asyncio.sleep(0.2)
         return True
 
@@ -55,12 +55,12 @@
     monkeypatch.setattr(run, "LEAVE_SETTLE_S", 0.0)
     monkeypatch.setattr(run, "DRAIN_TIMEOUT_S", 0.6)
 
-    async def stop(rig, last_moment=None):
-        others = OtherServices(last_moment)
-        async with asyncio.timeout(ENDS_S):
+    async def stop(rig, before_exit=None):
+        others = OtherServices(before_exit)
+        async with asyncio.timeout(SHUTDOWN_TIMEOUT_S):
             await run._drain(others, others, rig.traffic, others, others)
             await rig.traffic.stop()
-        return others.cut
+        return others.aborted
 
     return stop
 
@@ -83,43 +83,48 @@
     raw_call, start_backend_server, start_traffic, stop_node, wait_until
 ):
     server = await start_backend_server()
-    narrow = await start_traffic(server.address.port, service=NARROW)
-    wide = await start_traffic(server.address.port)
-    never = asyncio.Event()
+    one_slot_node = await start_traffic(server.address.port, service=ONE_SLOT)
+    node = await start_traffic(server.address.port)
+    never_set = asyncio.Event()
 
     async def ask_owner(call):
-        await never.wait()
+        await never_set.wait()
 
-    narrow.traffic.proxy.once_handler = ask_owner
+    one_slot_node.traffic.proxy.non_idempotent_handler = ask_owner
     slow = get(f"/songs?delay_ms={LONG_MS}")
     requests = {
-        "at work": (narrow, slow),
-        "waiting": (narrow, get("/songs")),
-        "payment": (narrow, get("/pay", "POST", "Content-Length: 1\r\n") + b"x"),
-        "half a body": (narrow, get("/songs", "POST", "Content-Length: 9\r\n") + b"x"),
-        "in a row": (wide, get("/songs?delay_ms=200") + get("/songs") * 2),
+        "running": (one_slot_node, slow),
+        "waiting": (one_slot_node, get("/songs")),
+        "payment": (one_slot_node, get("/pay", "POST", "Content-Length: 1\r\n") + b"x"),
+        "incomplete body": (
+            one_slot_node,
+            get("/songs", "POST", "Content-Length: 9\r\n") + b"x",
+        ),
+        "pipelined": (node, get("/songs?delay_ms=200") + get("/songs") * 2),
     }
     calls = {}
     for number, (name, (rig, request)) in enumerate(requests.items(), start=1):
         calls[name] = asyncio.create_task(raw_call(rig.port, request))
-        await wait_until(lambda n=number: in_flight(narrow) + in_flight(wide) == n)
-    reader, writer = await asyncio.open_connection("127.0.0.1", narrow.port)
-    cuts = await asyncio.gather(
-        stop_node(narrow, lambda: writer.write(slow)), stop_node(wide)
+        await wait_until(
+            lambda n=number: in_flight(one_slot_node) + in_flight(node) == n
+        )
+    reader, writer = await asyncio.open_connection("127.0.0.1", one_slot_node.port)
+    aborted_counts = await asyncio.gather(
+        stop_node(one_slot_node, lambda: writer.write(slow)), stop_node(node)
     )
-    calls["sent last"] = asyncio.create_task(reader.read())
+    calls["sent during shutdown"] = asyncio.create_task(reader.read())
     answers = {name: read_outcomes(await call) for name, call in calls.items()}
     writer.close()
 
     assert answers == {
-        "at work": [MAY_HAVE_RUN],
+        "running": [MAY_HAVE_RUN],
         "waiting": [NOT_RUN],
         "payment": [MAY_HAVE_RUN],
-        "half a body": [NOT_RUN],
-        "in a row": [RAN] * 3,
-        "sent last": [NOT_RUN],
+        "incomplete body": [NOT_RUN],
+        "pipelined": [RAN] * 3,
+        "sent during shutdown": [NOT_RUN],
     }
-    assert cuts == [4, 0]
+    assert aborted_counts == [4, 0]
 
 
 async def test_a_started_answer_is_aborted_visibly(
@@ -131,26 +136,26 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
     writer.write(get("/songs"))
     begun = await reader.readexactly(1000)
-    cut = await stop_node(rig)
+    aborted = await stop_node(rig)
     rest = await reader.read()
     writer.close()
 
     assert read_outcomes(begun + rest) == [RAN]
     assert set(rest) <= {ord("a")}
     assert len(rest) <= 100_000
-    assert cut == 1
+    assert aborted == 1
 
 
 async def test_a_run_for_a_peer_reports_whether_it_may_have_run(
     start_backend_server, start_traffic, stop_node, wait_until
 ):
     server = await start_backend_server()
-    rig = await start_traffic(server.address.port, service=NARROW)
+    rig = await start_traffic(server.address.port, service=ONE_SLOT)
     proxy = rig.traffic.proxy
     runs = []
     for number in (1, 2):
         call = make_call(proxy.table, f"/songs?delay_ms={LONG_MS}")
-        runs.append(asyncio.create_task(proxy.run_single(call)))
+        runs.append(asyncio.create_task(proxy.run_non_idempotent(call)))
         await wait_until(lambda n=number: proxy.in_flight == n)
     await wait_until(lambda: server.load().in_flight == 1)
     await stop_node(rig)
--- a/tests/test_traffic_retries.py
+++ b/tests/test_traffic_retries.py
@@ -31,7 +31,9 @@
     assert "Azurestep-Retried" not in headers
 
 
-async def test_only_the_lowest_hop_retries(http, start_raw_server, start_traffic):
+async def test_an_answer_already_retried_upstream_is_not_retried(
+    http, start_raw_server, start_traffic
+):
     final = FAILED.replace(b"Length: 3", b"Length: 3\r\nAzurestep-Retried: final")
     server = await start_raw_server([final, None], [OK])
     rig = await start_traffic(server.port)
@@ -99,8 +101,8 @@
 async def test_deadline_and_depth_are_propagated(http, start_raw_server, start_traffic):
     server = await start_raw_server([OK])
     rig = await start_traffic(server.port)
-    said = {"Azurestep-Deadline-Ms": "500", "Azurestep-Depth": "3"}
-    await fetch(http, f"{rig.url}/songs", headers=said)
+    request_headers = {"Azurestep-Deadline-Ms": "500", "Azurestep-Depth": "3"}
+    await fetch(http, f"{rig.url}/songs", headers=request_headers)
     lines = server.requests[0].decode().split("\r\n")
     deadlines = [line for line in lines if line.startswith("Azurestep-Deadline-Ms")]
 
@@ -152,7 +154,7 @@
     return reports[0].updates[0].fingerprint
 
 
-async def test_a_lost_connection_to_a_living_server_is_no_death(
+async def test_a_lost_connection_without_a_crash_is_not_reported(
     http, start_raw_server, start_traffic
 ):
     server = await start_raw_server([None], [], [OK])
@@ -167,9 +169,9 @@
     http, start_backend_server, start_traffic, wait_until
 ):
     server = await start_backend_server()
-    gone = await start_backend_server()
-    rig = await start_traffic(server.address.port, gone.address.port)
-    await gone.close()
+    closed_server = await start_backend_server()
+    rig = await start_traffic(server.address.port, closed_server.address.port)
+    await closed_server.close()
     statuses = {(await fetch(http, f"{rig.url}/songs"))[0] for _ in range(8)}
     await asyncio.sleep(0)
     assert statuses == {200}
--- a/tests/test_traffic_silent.py
+++ b/tests/test_traffic_silent.py
@@ -13,13 +13,13 @@
 
 
 @pytest_asyncio.fixture
-async def relay(start_backend_server):
+async def silent_proxy(start_backend_server):
     server = await start_backend_server()
-    silent_proxy = SilentProxy(server.address)
-    silent_proxy.server = server
-    await silent_proxy.start()
-    yield silent_proxy
-    await silent_proxy.close()
+    proxy = SilentProxy(server.address)
+    proxy.server = server
+    await proxy.start()
+    yield proxy
+    await proxy.close()
 
 
 async def fetch(http, url, method="GET", **options):
@@ -27,22 +27,22 @@
         return response.status, await response.read()
 
 
-async def fill_pool(http, rig, relay):
+async def fill_pool(http, rig, silent_proxy):
     """Fill the pool with idle connections and record first-byte times."""
     url = f"{rig.url}/songs?delay_ms=20"
     await asyncio.gather(*(fetch(http, url) for _ in range(REQUESTS)))
     for _ in range(REQUESTS):
         await fetch(http, url)
-    assert relay.open_connections >= REQUESTS // 2
+    assert silent_proxy.open_connections >= REQUESTS // 2
 
 
 @pytest.mark.parametrize("direction", [Direction.BOTH, Direction.TO_CALLER])
 async def test_requests_are_answered_over_new_connections(
-    http, relay, start_traffic, direction
+    http, silent_proxy, start_traffic, direction
 ):
-    rig = await start_traffic(relay.address.port)
-    await fill_pool(http, rig, relay)
-    relay.set_faults(Faults(silent=direction))
+    rig = await start_traffic(silent_proxy.address.port)
+    await fill_pool(http, rig, silent_proxy)
+    silent_proxy.set_faults(Faults(silent=direction))
     started_s = time.monotonic()
     calls = [fetch(http, f"{rig.url}/songs") for _ in range(REQUESTS)]
     answers = await asyncio.gather(*calls)
@@ -54,23 +54,23 @@
 
 
 async def test_one_unresponsive_connection_retires_all_older_ones(
-    http, relay, start_traffic, wait_until
+    http, silent_proxy, start_traffic, wait_until
 ):
-    rig = await start_traffic(relay.address.port)
-    await fill_pool(http, rig, relay)
-    opened = relay.opened
-    relay.set_faults(SILENT)
+    rig = await start_traffic(silent_proxy.address.port)
+    await fill_pool(http, rig, silent_proxy)
+    opened = silent_proxy.opened
+    silent_proxy.set_faults(SILENT)
     for _ in range(REQUESTS):
         await fetch(http, f"{rig.url}/songs")
-    assert relay.opened == opened + 1
+    assert silent_proxy.opened == opened + 1
 
 
 async def test_an_unresponsive_connection_ejects_no_server(
-    http, relay, start_traffic, start_backend_server
+    http, silent_proxy, start_traffic, start_backend_server
 ):
-    rig = await start_traffic(relay.address.port)
-    await fill_pool(http, rig, relay)
-    relay.set_faults(SILENT)
+    rig = await start_traffic(silent_proxy.address.port)
+    await fill_pool(http, rig, silent_proxy)
+    silent_proxy.set_faults(SILENT)
     calls = [fetch(http, f"{rig.url}/songs") for _ in range(REQUESTS)]
     await asyncio.gather(*calls)
     pool = rig.traffic.proxy._pools["catalogue"]
@@ -81,13 +81,15 @@
     assert state.success_ratio > 0.999
 
 
-async def test_a_payment_never_uses_a_pooled_connection(http, relay, start_traffic):
-    rig = await start_traffic(relay.address.port)
-    await fill_pool(http, rig, relay)
-    relay.set_faults(SILENT)
+async def test_a_payment_never_uses_a_pooled_connection(
+    http, silent_proxy, start_traffic
+):
+    rig = await start_traffic(silent_proxy.address.port)
+    await fill_pool(http, rig, silent_proxy)
+    silent_proxy.set_faults(SILENT)
     status, _ = await fetch(http, f"{rig.url}/pay", "POST", data=b"x")
     assert status == 200
-    assert relay.server.runs[""] == 1
+    assert silent_proxy.server.runs[""] == 1
 
 
 async def test_a_stalled_body_is_resumed(http, start_raw_server, start_traffic):
@@ -117,10 +119,10 @@
     assert sent <= server.counts.requests <= sent + 12
 
 
-async def test_payments_leave_few_connections_behind(
-    http, relay, start_traffic, wait_until
+async def test_payments_leave_few_idle_connections(
+    http, silent_proxy, start_traffic, wait_until
 ):
-    rig = await start_traffic(relay.address.port)
+    rig = await start_traffic(silent_proxy.address.port)
     for _ in range(30):
         await fetch(http, f"{rig.url}/pay", "POST", data=b"x")
-    await wait_until(lambda: relay.open_connections <= 4, 5.0)
+    await wait_until(lambda: silent_proxy.open_connections <= 4, 5.0)
--- a/tests/test_traffic_stopping.py
+++ b/tests/test_traffic_stopping.py
@@ -71,15 +71,15 @@
     rig = await start_traffic(*(server.address.port for server in servers))
     for _ in range(10):
         await _read(http, f"{rig.url}/songs")
-    left = servers[0]
+    leaving_server = servers[0]
     rig.endpoints[0] = attrs.evolve(rig.endpoints[0], leaving=True)
     rig.put_endpoints()
     while not rig.traffic.inputs.empty():
         await asyncio.sleep(0)
-    before = left.counts.requests
+    before = leaving_server.counts.requests
     for _ in range(10):
         await _read(http, f"{rig.url}/songs")
-    assert left.counts.requests == before
+    assert leaving_server.counts.requests == before
 
 
 async def test_early_requests_wait_for_table_and_endpoints(
