--- a/azurestep/balancing/__init__.py
+++ b/azurestep/balancing/__init__.py
@@ -4,26 +4,29 @@
 ``random.Random`` go in, typed messages come out. Nothing here opens a socket,
 reads a clock or logs.
 
-How a proxy uses them, per service:
+A class is a ``Priority``: each has a queue and a share of the capacity. A request is
+refused on arrival or dropped from the queue; a backend server may shed it.
+
+How a proxy uses the decisions, per service:
 
 1. Keep one ``Admission``, one ``RetryBudget`` and one ``Quarantine``. Pass the
    backend servers to ``Admission.replace_endpoints`` on each change, a new
    configuration to ``configure`` and load reports to ``report``.
 2. On arrival compute ``budget_on_arrival``; answer "not run" if it is ``expired`` or
-   ``too_deep``. For a request that the caller sends again call
-   ``RetryBudget.try_spend`` and refuse with ``RETRY_BUDGET`` if it returns false; for
-   any other request call ``RetryBudget.earn``.
-3. If ``Quarantine.active``, compute the ``fingerprint`` and call ``status_of``. Refuse
-   ``REFUSED``; for ``SUSPECT`` add ``servers_with_suspects`` to ``avoid`` and never
-   retry. Call ``record_start`` and, at the end, ``record_answer``, ``record_loss``
-   or ``record_end``.
+   ``too_deep``. For a client retry call ``RetryBudget.try_spend`` and refuse with
+   ``RETRY_BUDGET`` if it returns false; for any other request call
+   ``RetryBudget.earn``.
+3. If ``Quarantine.active``, compute the ``fingerprint`` and call ``status_of``. If
+   the status is ``REFUSED``, refuse the request. If it is ``SUSPECT``, don't retry the
+   request and add ``servers_with_suspects`` to ``avoid``. Call ``record_start`` and,
+   at the end, ``record_answer``, ``record_loss`` or ``record_end``.
 4. ``Admission.request`` returns ``Admitted``, ``Queued`` or ``Refused``. The ticket
    of a ``Queued`` is returned in a ``Granted`` or ``Dropped`` by a later ``finish``,
    ``cancel``, ``tick``, ``configure`` or ``replace_endpoints``. Call ``tick`` at
    ``next_tick_ms`` or every 50 ms.
 5. Send with ``budget_for_next_hop``. Call ``finish`` exactly once for every
-   ``Admitted`` or ``Granted``, after the whole answer was sent; its ``latency_ms`` is
-   the time to the first byte of the answer.
+   ``Admitted`` or ``Granted``, after the whole answer was sent;
+   ``AttemptOutcome.latency_ms`` is the time to the first byte of the answer.
 6. After a failure call ``finish``, then ``decide_retry``. For ``Retry`` call
    ``Admission.request`` again with the tried keys in ``avoid``. For ``ProbeFirst``
    connect once to the same address, call the quarantine's ``record_death`` or
--- a/azurestep/balancing/admission.py
+++ b/azurestep/balancing/admission.py
@@ -46,14 +46,14 @@
     data_centre, instance : str
         Where this node runs.
     rng : random.Random
-        Random number generator for the choices and the jitter.
+        Random number generator for load balancing, load shedding and jitter.
     limiter : LimiterKind or None
         How concurrency limits adapt; None follows the service's rule.
     discipline : Discipline
         Order of the queues.
     allow_throttle : bool
-        Whether a share of the requests to an adaptive service is shed while its
-        concurrency limits aren't binding.
+        Enables probabilistic load shedding for an adaptive service whose concurrency
+        limits can't reduce the load.
     """
 
     def __init__(
--- a/azurestep/balancing/choice.py
+++ b/azurestep/balancing/choice.py
@@ -12,6 +12,7 @@
 HEALTH_CHECK_INTERVAL_MS = 250.0
 MAX_LOCAL_UTILISATION = 0.25
 MIN_EFFECTIVE_UTILISATION = 0.5
+# Mean limit per backend server above which the limits can still decrease.
 MIN_MEAN_LIMIT = 2.0
 MAX_LOCAL_LATENCY_RATIO = 1.5
 REPORTED_LOAD_WEIGHT = 0.3
@@ -22,8 +23,8 @@
     """Chooses a backend server of one service for each request.
 
     The choice takes constant time: the better of two random backend servers that
-    are eligible and have a free slot. ``review`` does what needs all of them, at
-    most every ``HEALTH_CHECK_INTERVAL_MS``.
+    are eligible and have a free slot. ``run_health_checks`` ejects, restores and ramps
+    all backend servers, at most every ``HEALTH_CHECK_INTERVAL_MS``.
 
     Parameters
     ----------
@@ -72,7 +73,7 @@
         return [self._local_pool, *self._remote_pools]
 
     def limits_are_effective(self) -> bool:
-        """Return whether the concurrency limits are in use and can still fall."""
+        """Return whether the limits reduce load: half used and above the minimum."""
         capacity = self.capacity
         in_flight = sum(pool.total_in_flight for pool in self.pools)
         can_fall = capacity >= MIN_MEAN_LIMIT * len(self._states)
@@ -83,13 +84,13 @@
         return any(not s.endpoint.leaving for s in self._states.values())
 
     def configure(self, service: Service, now_ms: float) -> None:
-        """Apply changed rules; the records of the backend servers stay."""
+        """Apply changed rules; the statistics of the backend servers are kept."""
         self._service = service
         self._detector.rule = service.selection
         self.replace([state.endpoint for state in self._states.values()], now_ms)
 
     def replace(self, endpoints: Iterable[Endpoint], now_ms: float) -> None:
-        """Replace the backend servers; the records of those that remain stay."""
+        """Replace the backend servers; those that remain keep their statistics."""
         previous_states = self._states
         self._states = {}
         for endpoint in endpoints:
@@ -129,7 +130,7 @@
         self._pools = {pool.data_centre: pool for pool in self.pools}
 
     def report(self, report: LoadReport) -> None:
-        """Lower the weight of a backend server by its load report.
+        """Lower the weight of a backend server according to its load report.
 
         The effect is bounded, so that a wrong report shifts only some load.
         """
--- a/azurestep/balancing/deadlines.py
+++ b/azurestep/balancing/deadlines.py
@@ -15,7 +15,7 @@
     remaining_ms : float
         Time until the caller's deadline.
     depth : int
-        Calls above this one; 0 for the outermost.
+        Number of proxy hops that the request already passed; 0 at the first.
     """
 
     remaining_ms: float
@@ -28,7 +28,7 @@
 
     @property
     def too_deep(self) -> bool:
-        """Whether the depth suggests a loop of calls."""
+        """Whether the depth suggests a request loop."""
         return self.depth > MAX_DEPTH
 
 
@@ -63,8 +63,8 @@
 ) -> DeadlineBudget:
     """Return the budget of the call to the next hop.
 
-    The allowance is time for the answer's return, so that the inner call ends
-    before the outer one times out.
+    The allowance is time for the answer's return, so that the next hop times out
+    before this one.
 
     Examples
     --------
--- a/azurestep/balancing/ejection.py
+++ b/azurestep/balancing/ejection.py
@@ -31,7 +31,7 @@
     rule : SelectionRule
         Maximum share ejected and duration of a first ejection.
     peer_success_ratio : float
-        Median success ratio of the eligible backend servers at the last review.
+        Median success ratio of the eligible backend servers at the last health check.
     peer_latency_ms : float
         Their median latency; 0 while fewer than two have enough samples.
     """
@@ -52,7 +52,7 @@
         )
 
     def find_outliers(self, states: list[EndpointState]) -> list[EndpointState]:
-        """Return the eligible ones far worse than the median, worst first."""
+        """Return the eligible servers far worse than the median, worst first."""
         sampled = [s for s in states if s.eligible and s.samples >= MIN_SAMPLES]
         if len(sampled) < 2:
             self.peer_success_ratio = 1.0
@@ -106,10 +106,11 @@
         return restored
 
     def decay_ejections(self, state: EndpointState, now_ms: float) -> None:
-        """Halve the count of ejections after a healthy period."""
+        """Halve the count of ejections after two healthy ejection periods."""
         healthy = state.samples >= 10 * PROBATION_SAMPLES and state.success_ratio > 0.9
         if state.ejections == 0 or state.ejected or not healthy:
             return
         if now_ms - state.ramp_start_ms > 2 * self.rule.ejection_ms:
             state.ejections //= 2
+            # Restarts the healthy period with the ramp already complete.
             state.ramp_start_ms = now_ms - self.rule.ramp_up_ms
--- a/azurestep/balancing/endpoint_state.py
+++ b/azurestep/balancing/endpoint_state.py
@@ -42,7 +42,8 @@
     ramp : float
         Progress of the ramp, 0 to 1.
     report_weight : float
-        Weight from its load reports; it has a lower bound above 0.
+        Weight from its load reports; never 0, so that a report alone can't exclude
+        the backend server.
     ejected_until_ms : float
         End of the ejection; negative infinity if it isn't ejected.
     ejections : int
@@ -113,9 +114,9 @@
         self.latency_ms += SMOOTHING_GAIN * (latency_ms - self.latency_ms)
 
     def recover_statistics(self, peer_latency_ms: float) -> None:
-        """Move success ratio and latency back towards normal, once per review.
+        """Move success ratio and latency towards normal, once per health check.
 
-        Otherwise a backend server without requests would keep a bad record.
+        Otherwise a backend server without requests would keep bad statistics.
         """
         self.success_ratio += PENALTY_DECAY * (1.0 - self.success_ratio)
         if self.latency_ms > peer_latency_ms > 0.0:
@@ -226,6 +227,7 @@
 
 
 def _break_tie(one: EndpointState, other: EndpointState) -> EndpointState:
+    """Return the second only if the first is clearly slower."""
     if one.latency_ms > TIE_LATENCY_RATIO * other.latency_ms > 0.0:
         return other
     return one
--- a/azurestep/balancing/limiter.py
+++ b/azurestep/balancing/limiter.py
@@ -14,6 +14,7 @@
 BASELINE_DRIFT_FACTOR = 1.003
 BASELINE_FALL_GAIN = 0.1
 BASELINE_RISE_GAIN = 0.02
+# Multiples of the mean absolute deviation, divided by the root of the sample count.
 SLOW_STANDARD_ERRORS = 3.0
 OVERLOAD_RATIO = 0.25
 MIN_OVERLOAD_EVENTS = 2
@@ -58,29 +59,28 @@
 class LatencyWindow:
     """Mean latency over a window of samples, compared with a moving baseline.
 
-    The baseline rises slower than it falls, and hardly rises while answers are
-    slow: a lasting overload must not become the baseline, but a service that is
-    permanently slower must get its limit back. A mean counts as slow only if it
-    also exceeds the usual spread of single answers, so that a few long answers
-    aren't taken for overload. A refusal by the backend server is a sign of
-    overload, but its latency isn't counted.
+    The baseline falls fast and rises slowly, so that an overload doesn't become the
+    baseline. A window is slow if its mean exceeds the tolerance and the usual
+    variation of a mean. Refusals by the backend server count as overload; their
+    latency is ignored.
 
-    Attempts sent before the window started are ignored: they reflect the state
-    before the last change of the limit, and counting them would overshoot.
+    Attempts sent before the window started are ignored: they reflect the previous
+    limit, which would then change twice for one cause.
 
     Attributes
     ----------
     tolerance : float
         Multiple of the baseline above which a mean is slow.
     max_age_ms : float
-        Age at which a window with fewer samples counts as full.
+        Age at which a window counts as full with ``MIN_WINDOW_SAMPLES`` only.
     baseline_ms, deviation_ms : float
         Usual latency and its mean absolute deviation.
     baseline_samples : int
         Answers in the initial baseline; no mean counts as slow before there are
         ``MIN_BASELINE_SAMPLES``.
     slow_windows : int
-        Consecutive slow windows; the first one still moves the baseline.
+        Consecutive slow windows; from the second one on the baseline rises by
+        ``BASELINE_DRIFT_FACTOR`` at most.
     total_ms, total_deviation_ms : float
         Sum of the latencies and of their distances from the baseline.
     samples, refusals, timeouts : int
@@ -203,7 +203,7 @@
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
     def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
-        """Record one finished attempt; a full window moves the limit."""
+        """Record one finished attempt; a full window adjusts the limit."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
             return
@@ -223,7 +223,7 @@
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
     def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
-        """Record one finished attempt; a full window moves the limit."""
+        """Record one finished attempt; a full window adjusts the limit."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
             return
--- a/azurestep/balancing/messages.py
+++ b/azurestep/balancing/messages.py
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class Endpoint:
-    """A backend server in the directory.
+    """One incarnation of a backend server, as listed in the directory.
 
     Attributes
     ----------
@@ -24,7 +24,8 @@
     slots : int
         Requests that it processes concurrently.
     first_seen_ms : float
-        Time at which this incarnation was first announced to this node.
+        Time at which this node first saw this incarnation; negative infinity for
+        servers of the first directory.
     leaving : bool
         Whether it is draining; it then gets no new requests.
     """
@@ -40,7 +41,7 @@
 
 @attrs.frozen
 class LoadReport:
-    """A backend server's report of its own load; a hint for the weights.
+    """A backend server's report of its own load, which adjusts its weight.
 
     Attributes
     ----------
@@ -105,12 +106,12 @@
 
 @attrs.frozen
 class AdmissionRequest:
-    """A request, or a further attempt at one, that needs a backend server.
+    """An attempt at a request that needs a backend server.
 
     Attributes
     ----------
     priority : Priority
-        Class of the request.
+        Priority class of the request.
     now_ms : float
         Time of arrival.
     deadline_ms : float
--- a/azurestep/balancing/queueing.py
+++ b/azurestep/balancing/queueing.py
@@ -1,4 +1,4 @@
-"""Bounded queues of requests, one per class."""
+"""Bounded queues of requests, one per priority class."""
 
 import heapq
 import itertools
@@ -16,9 +16,9 @@
 
 
 class Discipline(StrEnum):
-    """What changes once a queue hasn't been empty for ``STANDING_AFTER_MS``.
+    """Queue discipline for a queue that is non-empty for ``STANDING_AFTER_MS``.
 
-    ``FIFO``: nothing. ``ADAPTIVE_LIFO``: the newest request is served first.
+    ``FIFO``: no change. ``ADAPTIVE_LIFO``: the newest request is served first.
     ``CONTROLLED_DELAY``: the maximum wait is ``STANDING_WAIT_RATIO`` of the timeout.
     """
 
@@ -29,7 +29,7 @@
 
 @attrs.define
 class ClassQueue:
-    """Queued requests of one class.
+    """Queued requests of one priority class.
 
     Attributes
     ----------
@@ -38,15 +38,17 @@
     discipline : Discipline
         Order of the queue.
     tickets : collections.deque of Ticket
-        Tickets in order of arrival; dropped ones stay until they reach an end.
+        Tickets in order of arrival; removed ones stay until they are first or last.
     length : int
         Number of tickets that still wait.
     in_flight : int
         Requests of the class at backend servers.
     standing_since_ms : float
-        Start of the period in which grants never emptied the queue.
+        Time since which the queue has been non-empty, apart from times when drops
+        emptied it.
     rate_window_start_ms, grant_count : float
-        Start of the measured period and grants in it, both decayed.
+        Window of the grant rate; ``pop`` halves it when it exceeds
+        ``RATE_WINDOW_MS``.
     emptied_by_drops : bool
         Whether drops, and not grants, last emptied the queue.
     """
@@ -97,7 +99,7 @@
         Parameters
         ----------
         mean_interval_ms : float
-            Time between two grants, assumed before any is measured.
+            Initial estimate of the time between two grants.
         now_ms : float
             Current time.
         """
@@ -142,8 +144,8 @@
 class ClassQueues:
     """Queues of all classes of one service.
 
-    Payment and interactive requests are served before bulk ones; of the two
-    classes, the one that uses less of its share is served first.
+    Payment and interactive requests are served before bulk ones; of these two
+    classes, the one with the lower ratio of requests in flight to share goes first.
     """
 
     def __init__(self, discipline: Discipline) -> None:
--- a/azurestep/balancing/retries.py
+++ b/azurestep/balancing/retries.py
@@ -16,14 +16,14 @@
 class RetryBudget:
     """Token bucket that limits the retries of one service.
 
-    Requests that callers send again spend tokens of the same bucket as the node's
-    own retries, so that both together stay within the ratio. A small constant
+    Client retries spend tokens of the same bucket as the node's own retries, so that
+    both together stay within the ratio. A small constant
     refill allows retries of a service with little traffic.
 
     Attributes
     ----------
     ratio : float
-        Tokens added per first request.
+        Tokens added per request that isn't a retry.
     tokens : float
         Retries allowed now.
     updated_ms : float
@@ -35,7 +35,7 @@
     updated_ms: float = 0.0
 
     def earn(self) -> None:
-        """Add the tokens of a first request."""
+        """Add the tokens of a request that isn't a retry."""
         self.tokens = min(MAX_TOKENS, self.tokens + self.ratio)
 
     def try_spend(self, now_ms: float) -> bool:
@@ -67,13 +67,13 @@
     remaining_ms : float
         Time until the caller's deadline.
     estimated_ms : float
-        Expected time of another attempt.
+        Estimated time of another attempt.
     retried_upstream : bool
-        Whether the answer says that a hop below already handled the failure.
+        Whether the answer says that an upstream hop already handled the failure.
     server_crashed : bool or None
-        After ``RESET``: whether the backend server died; None if unknown.
+        After ``RESET``: whether the backend server crashed; None if unknown.
     suspect : bool
-        Whether the quarantine suspects the request.
+        Whether its quarantine status is ``SUSPECT``.
     """
 
     kind: OutcomeKind
@@ -109,8 +109,8 @@
 class ProbeFirst:
     """Open a new connection to the same backend server, then decide again.
 
-    If it is refused, the backend server died (``server_crashed=True``); otherwise only
-    the connection was lost (``server_crashed=False``).
+    If it is refused, the backend server crashed (``server_crashed=True``);
+    otherwise only the connection was lost (``server_crashed=False``).
     """
 
 
@@ -125,7 +125,7 @@
     not_run : bool
         Whether the request provably did not run in this attempt.
     forbids_retry : bool
-        Whether hops above must not retry.
+        Whether downstream hops must not retry.
     """
 
     reason: GiveUpReason
--- a/azurestep/balancing/throttle.py
+++ b/azurestep/balancing/throttle.py
@@ -1,4 +1,4 @@
-"""Load shedding by a share of the requests to an overloaded service.
+"""Probabilistic load shedding for an overloaded service.
 
 A concurrency limit can't fall below one request. If many nodes call a service
 with about one request in flight each, only shedding a share of the requests
@@ -49,16 +49,16 @@
 
 @attrs.define
 class Throttle:
-    """Admits a share of all arrivals; bulk requests are shed first, payments last.
+    """Admits a fraction of all arrivals; bulk requests are shed first, payments last.
 
-    The share falls from the second consecutive overloaded window on, since a
-    single one may be chance, and rises after any other window. It doesn't fall
-    while the concurrency limits are binding.
+    The admitted ratio falls from the second consecutive overloaded window on and rises
+    after any other window. It doesn't fall while the concurrency limits reduce the
+    load.
 
     Attributes
     ----------
     admitted_ratio : float
-        Share of all arrivals admitted, 0 to 1.
+        Fraction of all arrivals admitted, 0 to 1.
     overloaded_windows : int
         Consecutive overloaded windows.
     window : LatencyWindow
@@ -80,7 +80,7 @@
         Parameters
         ----------
         priority : Priority
-            Class of the request.
+            Priority class of the request.
         now_ms : float
             Current time.
         random_value : float
@@ -90,7 +90,7 @@
         return self.admitted_ratio >= 1.0 or random_value < self.class_ratio(priority)
 
     def class_ratio(self, priority: Priority) -> float:
-        """Return the share of a class that is admitted."""
+        """Return the admitted fraction of a class."""
         counts = self.counts
         remaining = self.admitted_ratio * (
             counts.interactive + counts.payment + counts.bulk
--- a/azurestep/balancing/whole_answers.py
+++ b/azurestep/balancing/whole_answers.py
@@ -1,4 +1,4 @@
-"""Resumption of truncated answers."""
+"""Completeness check of answers and resumption of truncated ones."""
 
 import attrs
 
--- a/azurestep/traffic/attempt.py
+++ b/azurestep/traffic/attempt.py
@@ -1,4 +1,4 @@
-"""Attempts: a request sent to one backend server."""
+"""Sends one attempt to one backend server, hedged if idempotent."""
 
 import asyncio
 from collections.abc import Mapping
@@ -40,7 +40,7 @@
     answer : BackendAnswer or None
         The answer with an unread body; None without an answer.
     retried_upstream : bool
-        Whether a hop below already handled the failure.
+        Whether an upstream hop already handled the failure.
     sent_ms : float
         Monotonic time at which the request was sent.
     """
@@ -56,8 +56,8 @@
     """Sends attempts over pooled connections.
 
     An idempotent request uses a pooled connection and is hedged on a new one if the
-    pooled one stays unresponsive. Any other request gets a new connection, since
-    an unresponsive one would leave it unknown whether the request ran.
+    pooled one stays unresponsive. Any other request gets a new connection, because
+    a request lost on a pooled one could not safely be sent again.
 
     Parameters
     ----------
--- a/azurestep/traffic/call.py
+++ b/azurestep/traffic/call.py
@@ -43,11 +43,12 @@
     tried : list of EndpointKey
         Backend servers of the attempts so far.
     is_client_retry : bool
-        Whether the caller marked the request as sent again.
+        Whether the caller marked the request as a retry.
     stream : AsyncIterable of bytes or None
         Body of a request too large to be buffered; it can be sent only once.
     is_suspect : bool
-        Whether the quarantine suspects the request.
+        Whether its quarantine status is ``SUSPECT``: it was in flight when a
+        connection was lost or a backend server crashed.
     closes_connection : bool
         Whether the answer closes the caller's connection.
     may_have_run : bool
@@ -105,7 +106,7 @@
 
 
 def is_client_retry(request: web.BaseRequest) -> bool:
-    """Return whether the caller marked the request as sent again."""
+    """Return whether the caller marked the request as a retry."""
     attempt = _parse_number(request.headers.get(headers.ATTEMPT))
     return attempt is not None and attempt > 1
 
--- a/azurestep/traffic/caller_answer.py
+++ b/azurestep/traffic/caller_answer.py
@@ -13,7 +13,7 @@
 
 
 class BufferedAnswer(web.Response):
-    """An answer with its whole body; it calls ``on_written`` once written."""
+    """An answer with a buffered body; it calls ``on_written`` once written."""
 
     on_written: WrittenCallback | None = None
 
@@ -28,7 +28,8 @@
 class CloseDelimitedAnswer(web.StreamResponse):
     """An answer whose body is delimited by the close of the connection.
 
-    Such an end may be a truncation, so it isn't passed on as a marked end.
+    The node can't distinguish this end from a truncation, so it also closes the
+    caller's connection instead of sending a last chunk.
     """
 
     _length_check = False
@@ -59,7 +60,7 @@
 def make_buffered_answer(
     answer: BackendAnswer, body: bytes, forbids_retry: bool
 ) -> BufferedAnswer:
-    """Return an answer with its whole body."""
+    """Return an answer with a buffered body."""
     dropped = ("content-length",) if answer.has_body else ()
     fields = end_to_end_headers(answer.headers, dropped)
     if forbids_retry:
--- a/azurestep/traffic/caller_connection.py
+++ b/azurestep/traffic/caller_connection.py
@@ -6,7 +6,7 @@
 def has_pipelined_request(connection: RequestHandler) -> bool:
     """Return whether another request follows the one that is being answered.
 
-    An answer that closes the connection would drop it.
+    If the answer closed the connection, that request would be lost.
     """
     return bool(connection._messages)
 
--- a/azurestep/traffic/connection.py
+++ b/azurestep/traffic/connection.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 connections to backend servers.
 
-Based on aiohttp's protocol and parser, without what a proxy doesn't need of its
-session: cookies, redirects, traces and header objects.
+Based on aiohttp's protocol and parser, without the session's cookies,
+redirects, traces and header objects, which a proxy doesn't need.
 """
 
 import asyncio
--- a/azurestep/traffic/connection_pool.py
+++ b/azurestep/traffic/connection_pool.py
@@ -11,7 +11,7 @@
 from .connection import BackendConnection
 
 MAX_IDLE_MS = 5000.0
-# A backend server accepts few connections, and many nodes share them.
+# A backend server accepts few connections, and many nodes connect to it.
 MAX_IDLE_PER_ADDRESS = 4
 MAX_UNACKNOWLEDGED_MS = 5000
 MS_PER_S = 1000
@@ -108,7 +108,7 @@
         return len(retired)
 
     def valid_from_ms(self, address: Address) -> float:
-        """Return the time before which connections to an address are not reused."""
+        """Return the earliest opening time of connections that may be reused."""
         return self._pool(address).valid_from_ms
 
     def close_idle(self) -> None:
--- a/azurestep/traffic/directory.py
+++ b/azurestep/traffic/directory.py
@@ -132,7 +132,7 @@
                 self._first_seen_ms.pop(endpoint.key, None)
 
     def _initial_first_seen_ms(self, now_ms: float) -> float:
-        # Right after its start the node can't know which servers are new.
+        # Servers of the first directory get no slow start.
         return now_ms if self._has_endpoints else float("-inf")
 
     def _placed_of(self, update: Update) -> Iterator[PlacedServer]:
--- a/azurestep/traffic/forward.py
+++ b/azurestep/traffic/forward.py
@@ -1,4 +1,4 @@
-"""Attempts at a request: admit, send, relay and retry."""
+"""Retry loop of a request: admission, attempts and relay of the answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -90,7 +90,10 @@
         return error_answer
 
     def check_limits(self, pool: ServicePool, call: Call) -> ErrorAnswer | None:
-        """Return the error answer of a call over the retry budget or in quarantine."""
+        """Charge the retry budget and check the quarantine.
+
+        Returns an error answer if either forbids the request.
+        """
         now_ms = self._clock.monotonic_ms()
         if call.is_client_retry and not pool.retry_budget.try_spend(now_ms):
             refusal_reason = RefusalReason.RETRY_BUDGET
@@ -197,7 +200,7 @@
         return decision
 
     def finish(self, sent: SentAttempt, kind: OutcomeKind) -> None:
-        """Release the slot and the connection of an attempt."""
+        """Free the slot and the connection of an attempt."""
         if sent.attempt.answer is not None:
             sent.attempt.answer.release()
         outcome = AttemptOutcome(kind, sent.attempt.latency_ms)
@@ -243,7 +246,7 @@
             self.finish(current, OutcomeKind.CANCELLED)
             raise
         kind = OUTCOME_BY_RELAY_END.get(relay.end, current.attempt.kind)
-        # Runs after a whole answer is written, to keep it off the request's path.
+        # Runs after a whole answer is written, so that it adds no latency.
         asyncio.get_running_loop().call_soon(self.finish, current, kind)
         return answer
 
--- a/azurestep/traffic/hedge.py
+++ b/azurestep/traffic/hedge.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second attempt on a new connection to the same server."""
+"""Hedged requests: a second copy on a new connection to the same server."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class ExchangeResult:
-    """Head of an answer, with connection and time of its request."""
+    """Head of an answer, its connection and the time at which the request was sent."""
 
     head: Head
     connection: BackendConnection
@@ -37,7 +37,7 @@
     delay_ms : float
         Time without a first byte after which the request is hedged.
     may_hedge : callable
-        Returns whether a hedge is allowed; called again after each delay.
+        Returns whether a hedge is allowed; called after each delay until it is.
     exchange : callable
         Sends the request on a new connection.
     """
--- a/azurestep/traffic/once_answers.py
+++ b/azurestep/traffic/once_answers.py
@@ -1,4 +1,7 @@
-"""HTTP answers to requests that run at most once."""
+"""HTTP answers to non-idempotent requests.
+
+Slots are the parts of the key space that owners are assigned to.
+"""
 
 import math
 
--- a/azurestep/traffic/packed_call.py
+++ b/azurestep/traffic/packed_call.py
@@ -1,4 +1,4 @@
-"""Calls in the form sent from the accepting node to the owner of their key."""
+"""Serialises requests forwarded to the node that owns their idempotency key."""
 
 import hashlib
 
--- a/azurestep/traffic/pool.py
+++ b/azurestep/traffic/pool.py
@@ -1,4 +1,4 @@
-"""Awaitable admission to one service, with its retry budget and quarantine."""
+"""Asyncio wrapper of the admission to one service."""
 
 import asyncio
 import random
@@ -40,7 +40,7 @@
     service : str
         Service of the requests.
     updates : list of QuarantineUpdate
-        Fingerprints and deaths.
+        Fingerprints of requests, with the crashes counted for each.
     """
 
     service: str
@@ -51,7 +51,7 @@
 
 
 class ServicePool:
-    """Pool of the backend servers of one service.
+    """Admission, retry budget and quarantine of one service, for asyncio.
 
     Parameters
     ----------
@@ -99,7 +99,7 @@
         self.resolve_waiting(self.admission.replace_endpoints(endpoints, now_ms))
 
     def _record_replaced(self, endpoints: tuple[Endpoint, ...], now_ms: float) -> None:
-        """Record backend servers as dead whose address has another incarnation."""
+        """Record a crash of each server whose address has another incarnation now."""
         keys_by_address = {(e.key.host, e.key.port): e.key for e in endpoints}
         for previous in self.endpoints:
             key = previous.key
@@ -110,7 +110,7 @@
     async def handle_lost_connection(
         self, fingerprint: int, endpoint: Endpoint, probe: Probe, now_ms: float
     ) -> None:
-        """Probe a backend server whose connection was lost; record its death."""
+        """Probe a backend server whose connection was lost; record a crash."""
         key = endpoint.key
         self.quarantine.record_loss(fingerprint, key, now_ms)
         if key in self._crashed:
@@ -129,7 +129,7 @@
             self._on_report(QuarantineReport(self._service.name, updates))
 
     def has_crashed(self, key: EndpointKey) -> bool:
-        """Return whether a backend server is recorded as dead."""
+        """Return whether a crash of a backend server was recorded."""
         return key in self._crashed
 
     def record_end(
@@ -142,7 +142,7 @@
             self.quarantine.record_end(fingerprint, key)
 
     async def acquire(self, request: AdmissionRequest) -> Admitted | Refused:
-        """Return a backend server for a request, waiting in the queue if necessary."""
+        """Admit or refuse a request, waiting in the queue if necessary."""
         decision = self.admission.request(request)
         if not isinstance(decision, Queued):
             return decision
@@ -184,7 +184,7 @@
             self.resolve_waiting(self.admission.tick(now_ms))
 
     def resolve_waiting(self, results: list[QueueResult]) -> None:
-        """Set the result of the tasks that wait for these results."""
+        """Resolve the futures of granted and dropped requests."""
         for result in results:
             future = self._waiting.pop(result.ticket, None)
             if future is not None and not future.done():
--- a/azurestep/traffic/proxy.py
+++ b/azurestep/traffic/proxy.py
@@ -48,9 +48,9 @@
         Called with each report on requests that crash backend servers; it sends
         the report to peers.
     ready : asyncio.Event
-        Set once requests no longer wait for the routing table and the directory.
+        Set once there is a routing table, and a directory or the wait for it ended.
     non_idempotent_handler : callable or None
-        Serves requests that must run at most once; None serves them as others.
+        Handles non-idempotent requests; without it they are served like any other.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests without a whole answer, including those run for peers."""
+        """Number of requests in flight, including those executed for peers."""
         return len(self._in_flight_requests)
 
     @property
@@ -221,7 +221,7 @@
         return await self.run(request, call)
 
     async def run_non_idempotent(self, call: Call) -> RunResult:
-        """Run a request that must run at most once."""
+        """Run a non-idempotent request as the owner of its key."""
         pool = self._pools[call.match.service.name]
         entry = InFlightRequest(call=call, is_owner_run=True)
         try:
--- a/azurestep/traffic/relay.py
+++ b/azurestep/traffic/relay.py
@@ -59,7 +59,7 @@
     on_written : callable
         Called once, after the head or the whole answer was written.
     forbids_retry : bool
-        Whether hops above must not retry.
+        Whether downstream hops must not retry.
     delivered_bytes : int
         Bytes of the current answer sent to the caller.
     resumptions : int
@@ -125,7 +125,7 @@
             abort_connection(request)
             return response
         except asyncio.CancelledError:
-            # A refusal written after part of a body would be read as its rest.
+            # The caller would read an error answer as the rest of this body.
             abort_connection(request)
             raise
         if not is_complete:
--- a/azurestep/traffic/request_body.py
+++ b/azurestep/traffic/request_body.py
@@ -11,7 +11,8 @@
 async def buffer_body(request: web.BaseRequest, call: Call) -> ErrorAnswer | None:
     """Buffer the body for retries.
 
-    A larger body is streamed if the request is idempotent, and refused otherwise.
+    A body over ``MAX_BUFFERED_BODY_BYTES`` is streamed if the request is idempotent,
+    and refused otherwise.
     """
     body = bytearray()
     while chunk := await request.content.readany():
--- a/azurestep/traffic/single_run.py
+++ b/azurestep/traffic/single_run.py
@@ -1,4 +1,4 @@
-"""Single run of a request that must run at most once."""
+"""Runs a non-idempotent request; retries it only if it provably did not run."""
 
 import asyncio
 
@@ -45,7 +45,7 @@
 async def run_non_idempotent(
     pool: ServicePool, forwarder: Forwarder, call: Call, clock: Clock
 ) -> RunResult:
-    """Run a call once; try another backend server only if it did not run."""
+    """Run a request; try another backend server only if it did not run."""
     if forwarder.check_limits(pool, call) is not None:
         return RunFailed(may_have_run=False)
     for _ in range(call.match.service.retry.max_attempts):
--- a/azurestep/traffic/table.py
+++ b/azurestep/traffic/table.py
@@ -38,12 +38,12 @@
 
     @property
     def priority(self) -> Priority:
-        """Class of the request."""
+        """Priority class of the request."""
         return self.route.priority
 
 
 def accepts_non_idempotent(route: Route) -> bool:
-    """Return whether a route accepts requests that must run at most once."""
+    """Return whether a route accepts non-idempotent requests."""
     if route.idempotent is not None:
         return not route.idempotent
     return not route.methods or any(
@@ -87,7 +87,7 @@
 
     @property
     def non_idempotent_services(self) -> frozenset[str]:
-        """Services that accept requests which must run at most once."""
+        """Services that accept non-idempotent requests."""
         return frozenset(
             route.service
             for routes in self._routes.values()
--- a/azurestep/traffic/under_way.py
+++ b/azurestep/traffic/under_way.py
@@ -9,8 +9,8 @@
 
 STOPPING_ANSWER = not_run(503, "stopping", 500.0)
 CALLER_END_DELAY_S = 0.05
-"""Time between the end of runs and of callers' requests, so that a payment whose run is
-ended still gets the outcome."""
+"""Delay between the end of runs and of callers' requests at a shutdown; the outcome of
+an ended run reaches its caller in this time."""
 
 
 @attrs.define(eq=False)
@@ -24,9 +24,9 @@
     call : Call or None
         The request, once its route is known.
     is_owner_run : bool
-        Whether this is the run of a request that its owner accepted.
+        Whether this node runs the request as the owner of its key.
     is_sent_to_owner : bool
-        Whether the request was handed to the owner of its key.
+        Whether the request was sent to the owner of its key.
     """
 
     timeout: asyncio.Timeout = attrs.field(factory=lambda: asyncio.timeout(None))
@@ -63,11 +63,11 @@
         return len(self._requests)
 
     def add(self, request: InFlightRequest) -> None:
-        """Add a request whose timeout was entered."""
+        """Add a request, inside its timeout context."""
         self._requests.add(request)
 
     def remove(self, request: InFlightRequest) -> None:
-        """Remove an answered request."""
+        """Remove a request that ended."""
         self._requests.discard(request)
 
     def end_requests(self) -> int:
--- a/tests/test_traffic_retries.py
+++ b/tests/test_traffic_retries.py
@@ -125,6 +125,7 @@
     assert [answer[0] for answer in answers] == [502, 502, 503, 503]
     assert answers[-1][1]["Azurestep-Reason"] == "quarantined"
     assert answers[-1][1]["Azurestep-Not-Run"] == "1"
+    # Two crashes and the harmless request.
     assert sum(server.counts.started for server in servers) == 3
     assert harmless[0] == 200
     assert reports[-1].service == "catalogue"
--- a/tests/test_traffic_silent.py
+++ b/tests/test_traffic_silent.py
@@ -115,7 +115,7 @@
     for _ in range(4):
         await asyncio.gather(*(fetch(http, slow) for _ in range(10)))
     sent = 4 + 40
-    # Ten initial tokens; the recorded times prevent further hedges.
+    # The budget of ten hedges, with a margin.
     assert sent <= server.counts.requests <= sent + 12
 
 
--- a/tests/test_traffic_stopping.py
+++ b/tests/test_traffic_stopping.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a node, and requests before it is ready."""
+"""Drain of nodes and backend servers, and requests before a node is ready."""
 
 import asyncio
 
