--- a/azurestep/balancing/limiter.py
+++ b/azurestep/balancing/limiter.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from .messages import Outcome, OutcomeKind
+from .messages import AttemptOutcome, OutcomeKind
 
 WINDOW_SAMPLES = 8
 MIN_WINDOW_MS = 100.0
@@ -14,9 +14,10 @@
 BASELINE_DRIFT_FACTOR = 1.003
 BASELINE_FALL_GAIN = 0.1
 BASELINE_RISE_GAIN = 0.02
+# Multiples of the mean absolute deviation, divided by the root of the sample count.
 SLOW_STANDARD_ERRORS = 3.0
 OVERLOAD_RATIO = 0.25
-MIN_OVERLOAD_SIGNS = 2
+MIN_OVERLOAD_EVENTS = 2
 MIN_WINDOW_SAMPLES = 2
 MIN_BASELINE_SAMPLES = 64
 DECREASE_FACTOR = 0.8
@@ -39,7 +40,7 @@
 
     limit: float
 
-    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
         """Record one finished attempt."""
         ...
 
@@ -50,7 +51,7 @@
 
     limit: float
 
-    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
+    def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
         """Ignore the attempt."""
 
 
@@ -58,29 +59,28 @@
 class LatencyWindow:
     """Mean latency over a window of samples, compared with a moving baseline.
 
-    The baseline rises slower than it falls, and hardly rises while answers are
-    slow: a lasting overload must not become the baseline, but a service that is
-    permanently slower must get its limit back. A mean counts as slow only if it
-    also exceeds the usual spread of single answers, so that a few long answers
-    aren't taken for overload. A refusal by the backend server is a sign of
-    overload, but its latency isn't counted.
+    The baseline falls fast and rises slowly, so that an overload doesn't become the
+    baseline. A window is slow if its mean exceeds the tolerance and the usual
+    variation of a mean. Refusals by the backend server count as overload; their
+    latency is ignored.
 
-    Attempts sent before the window started are ignored: they reflect the state
-    before the last change of the limit, and counting them would overshoot.
+    Attempts sent before the window started are ignored: they reflect the previous
+    limit, which would then change twice for one cause.
 
     Attributes
     ----------
     tolerance : float
         Multiple of the baseline above which a mean is slow.
     max_age_ms : float
-        Age at which a window with fewer samples counts as full.
+        Age at which a window counts as full with ``MIN_WINDOW_SAMPLES`` only.
     baseline_ms, deviation_ms : float
         Usual latency and its mean absolute deviation.
     baseline_samples : int
         Answers in the initial baseline; no mean counts as slow before there are
         ``MIN_BASELINE_SAMPLES``.
     slow_windows : int
-        Consecutive slow windows; the first one still moves the baseline.
+        Consecutive slow windows; from the second one on the baseline rises by
+        ``BASELINE_DRIFT_FACTOR`` at most.
     total_ms, total_deviation_ms : float
         Sum of the latencies and of their distances from the baseline.
     samples, refusals, timeouts : int
@@ -105,7 +105,7 @@
     peak_in_flight: int = 0
     started_ms: float = math.nan
 
-    def add(self, outcome: Outcome, in_flight: int, now_ms: float) -> bool:
+    def add(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> bool:
         """Add a sample; return whether the window is full."""
         sent_ms = now_ms - outcome.latency_ms
         if sent_ms < self.started_ms:
@@ -134,8 +134,10 @@
 
     def has_many_refusals(self) -> bool:
         """Return whether refusals and timeouts alone indicate an overload."""
-        signs = self.refusals + self.timeouts
-        return signs >= max(MIN_OVERLOAD_SIGNS, OVERLOAD_RATIO * self.samples)
+        overload_events = self.refusals + self.timeouts
+        return overload_events >= max(
+            MIN_OVERLOAD_EVENTS, OVERLOAD_RATIO * self.samples
+        )
 
     def mean_ms(self) -> float:
         """Return the mean latency; 0 when every sample was a refusal."""
@@ -200,8 +202,8 @@
     max_limit: float
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
-    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
-        """Record one finished attempt; a full window moves the limit."""
+    def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
+        """Record one finished attempt; a full window adjusts the limit."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
             return
@@ -220,8 +222,8 @@
     max_limit: float
     window: LatencyWindow = attrs.field(factory=LatencyWindow)
 
-    def record(self, outcome: Outcome, in_flight: int, now_ms: float) -> None:
-        """Record one finished attempt; a full window moves the limit."""
+    def record(self, outcome: AttemptOutcome, in_flight: int, now_ms: float) -> None:
+        """Record one finished attempt; a full window adjusts the limit."""
         window = self.window
         if not window.add(outcome, in_flight, now_ms):
             return
--- a/azurestep/balancing/messages.py
+++ b/azurestep/balancing/messages.py
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class Endpoint:
-    """A backend server in the directory.
+    """One incarnation of a backend server, as listed in the directory.
 
     Attributes
     ----------
@@ -23,8 +23,9 @@
         What it serves and where it runs.
     slots : int
         Requests that it processes concurrently.
-    announced_ms : float
-        Time at which this incarnation was first announced to this node.
+    first_seen_ms : float
+        Time at which this node first saw this incarnation; negative infinity for
+        servers of the first directory.
     leaving : bool
         Whether it is draining; it then gets no new requests.
     """
@@ -34,13 +35,13 @@
     instance: str
     data_centre: str
     slots: int
-    announced_ms: float = float("-inf")
+    first_seen_ms: float = float("-inf")
     leaving: bool = False
 
 
 @attrs.frozen
 class LoadReport:
-    """A backend server's report of its own load; a hint for the weights.
+    """A backend server's report of its own load, which adjusts its weight.
 
     Attributes
     ----------
@@ -70,7 +71,7 @@
 
 
 @attrs.frozen
-class Outcome:
+class AttemptOutcome:
     """End of an attempt.
 
     Attributes
@@ -104,13 +105,13 @@
 
 
 @attrs.frozen
-class RequestArrived:
-    """A request, or a further attempt at one, that needs a backend server.
+class AdmissionRequest:
+    """An attempt at a request that needs a backend server.
 
     Attributes
     ----------
     priority : Priority
-        Class of the request.
+        Priority class of the request.
     now_ms : float
         Time of arrival.
     deadline_ms : float
@@ -139,7 +140,7 @@
 
     Attributes
     ----------
-    request : RequestArrived
+    request : AdmissionRequest
         The request.
     state : TicketState
         Its state; only ``Admission`` changes it.
@@ -147,7 +148,7 @@
         The backend server, once granted.
     """
 
-    request: RequestArrived
+    request: AdmissionRequest
     state: TicketState = TicketState.QUEUED
     endpoint: Endpoint | None = None
 
@@ -200,5 +201,5 @@
     retry_after_ms: float
 
 
-Decision = Admitted | Queued | Refused
-Release = Granted | Dropped
+AdmissionDecision = Admitted | Queued | Refused
+QueueResult = Granted | Dropped
--- a/azurestep/balancing/queueing.py
+++ b/azurestep/balancing/queueing.py
@@ -1,4 +1,4 @@
-"""Bounded queues of requests, one per class."""
+"""Bounded queues of requests, one per priority class."""
 
 import heapq
 import itertools
@@ -12,13 +12,13 @@
 
 STANDING_AFTER_MS = 100.0
 STANDING_WAIT_RATIO = 0.2
-PACE_WINDOW_MS = 1000.0
+RATE_WINDOW_MS = 1000.0
 
 
 class Discipline(StrEnum):
-    """What changes once a queue hasn't been empty for ``STANDING_AFTER_MS``.
+    """Queue discipline for a queue that is non-empty for ``STANDING_AFTER_MS``.
 
-    ``FIFO``: nothing. ``ADAPTIVE_LIFO``: the newest request is served first.
+    ``FIFO``: no change. ``ADAPTIVE_LIFO``: the newest request is served first.
     ``CONTROLLED_DELAY``: the maximum wait is ``STANDING_WAIT_RATIO`` of the timeout.
     """
 
@@ -29,7 +29,7 @@
 
 @attrs.define
 class ClassQueue:
-    """Queued requests of one class.
+    """Queued requests of one priority class.
 
     Attributes
     ----------
@@ -38,15 +38,17 @@
     discipline : Discipline
         Order of the queue.
     tickets : collections.deque of Ticket
-        Tickets in order of arrival; dropped ones stay until they reach an end.
+        Tickets in order of arrival; removed ones stay until they are first or last.
     length : int
         Number of tickets that still wait.
     in_flight : int
         Requests of the class at backend servers.
     standing_since_ms : float
-        Start of the period in which grants never emptied the queue.
-    measured_from_ms, grant_count : float
-        Start of the measured period and grants in it, both decayed.
+        Time since which the queue has been non-empty, apart from times when drops
+        emptied it.
+    rate_window_start_ms, grant_count : float
+        Window of the grant rate; ``pop`` halves it when it exceeds
+        ``RATE_WINDOW_MS``.
     emptied_by_drops : bool
         Whether drops, and not grants, last emptied the queue.
     """
@@ -57,7 +59,7 @@
     length: int = 0
     in_flight: int = 0
     standing_since_ms: float = 0.0
-    measured_from_ms: float = 0.0
+    rate_window_start_ms: float = 0.0
     grant_count: float = 0.0
     emptied_by_drops: bool = False
 
@@ -73,7 +75,7 @@
         if self.emptied_by_drops:
             return
         self.standing_since_ms = now_ms
-        self.measured_from_ms = now_ms
+        self.rate_window_start_ms = now_ms
         self.grant_count = 0.0
 
     def is_standing(self, now_ms: float) -> bool:
@@ -97,13 +99,13 @@
         Parameters
         ----------
         mean_interval_ms : float
-            Time between two grants, assumed before any is measured.
+            Initial estimate of the time between two grants.
         now_ms : float
             Current time.
         """
         if self.length == 0 or self._newest_first(now_ms):
             return 0.0
-        age_ms = now_ms - self.measured_from_ms
+        age_ms = now_ms - self.rate_window_start_ms
         return self.length * (age_ms + mean_interval_ms) / (self.grant_count + 1.0)
 
     def peek(self, now_ms: float) -> Ticket | None:
@@ -122,8 +124,8 @@
         self.length -= 1
         self.emptied_by_drops = False
         self.grant_count += 1.0
-        if now_ms - self.measured_from_ms > PACE_WINDOW_MS:
-            self.measured_from_ms = (self.measured_from_ms + now_ms) / 2
+        if now_ms - self.rate_window_start_ms > RATE_WINDOW_MS:
+            self.rate_window_start_ms = (self.rate_window_start_ms + now_ms) / 2
             self.grant_count /= 2
 
     def _remove_end(self, newest: bool) -> None:
@@ -142,8 +144,8 @@
 class ClassQueues:
     """Queues of all classes of one service.
 
-    Payment and interactive requests are served before bulk ones; of the two
-    classes, the one that uses less of its share is served first.
+    Payment and interactive requests are served before bulk ones; of these two
+    classes, the one with the lower ratio of requests in flight to share goes first.
     """
 
     def __init__(self, discipline: Discipline) -> None:
--- a/azurestep/balancing/retries.py
+++ b/azurestep/balancing/retries.py
@@ -16,14 +16,14 @@
 class RetryBudget:
     """Token bucket that limits the retries of one service.
 
-    Requests that callers send again spend tokens of the same bucket as the node's
-    own retries, so that both together stay within the ratio. A small constant
+    Client retries spend tokens of the same bucket as the node's own retries, so that
+    both together stay within the ratio. A small constant
     refill allows retries of a service with little traffic.
 
     Attributes
     ----------
     ratio : float
-        Tokens added per first request.
+        Tokens added per request that isn't a retry.
     tokens : float
         Retries allowed now.
     updated_ms : float
@@ -35,10 +35,10 @@
     updated_ms: float = 0.0
 
     def earn(self) -> None:
-        """Add the tokens of a first request."""
+        """Add the tokens of a request that isn't a retry."""
         self.tokens = min(MAX_TOKENS, self.tokens + self.ratio)
 
-    def spend(self, now_ms: float) -> bool:
+    def try_spend(self, now_ms: float) -> bool:
         """Spend one token on a retry; return whether there was one."""
         refill = max(0.0, now_ms - self.updated_ms) * REFILL_TOKENS_PER_MS
         if self.ratio > 0:
@@ -66,14 +66,14 @@
         Bytes of the answer already sent to the caller.
     remaining_ms : float
         Time until the caller's deadline.
-    expected_ms : float
-        Expected time of another attempt.
-    marked_final : bool
-        Whether the answer says that a hop below already handled the failure.
-    server_died : bool or None
-        After ``RESET``: whether the backend server died; None if unknown.
+    estimated_ms : float
+        Estimated time of another attempt.
+    retried_upstream : bool
+        Whether the answer says that an upstream hop already handled the failure.
+    server_crashed : bool or None
+        After ``RESET``: whether the backend server crashed; None if unknown.
     suspect : bool
-        Whether the quarantine suspects the request.
+        Whether its quarantine status is ``SUSPECT``.
     """
 
     kind: OutcomeKind
@@ -81,9 +81,9 @@
     idempotent: bool
     bytes_delivered: int
     remaining_ms: float
-    expected_ms: float = 0.0
-    marked_final: bool = False
-    server_died: bool | None = None
+    estimated_ms: float = 0.0
+    retried_upstream: bool = False
+    server_crashed: bool | None = None
     suspect: bool = False
 
 
@@ -95,7 +95,7 @@
     ATTEMPTS = "attempts"
     BUDGET = "budget"
     DEADLINE = "deadline"
-    FINAL_BELOW = "final_below"
+    RETRIED_UPSTREAM = "final_below"
     SUSPECT = "suspect"
     CANCELLED = "cancelled"
 
@@ -109,8 +109,8 @@
 class ProbeFirst:
     """Open a new connection to the same backend server, then decide again.
 
-    If it is refused, the backend server died (``server_died=True``); otherwise only
-    the connection was lost (``server_died=False``).
+    If it is refused, the backend server crashed (``server_crashed=True``);
+    otherwise only the connection was lost (``server_crashed=False``).
     """
 
 
@@ -124,13 +124,13 @@
         Why no other attempt is made.
     not_run : bool
         Whether the request provably did not run in this attempt.
-    mark_final : bool
-        Whether hops above must not retry.
+    forbids_retry : bool
+        Whether downstream hops must not retry.
     """
 
     reason: GiveUpReason
     not_run: bool
-    mark_final: bool = True
+    forbids_retry: bool = True
 
 
 RetryDecision = Retry | ProbeFirst | GiveUp
@@ -147,9 +147,9 @@
     reason = _find_give_up_reason(attempt, rule, not_run)
     if reason is not None:
         return GiveUp(reason, not_run)
-    if attempt.kind is OutcomeKind.RESET and attempt.server_died is None:
+    if attempt.kind is OutcomeKind.RESET and attempt.server_crashed is None:
         return ProbeFirst()
-    if not budget.spend(now_ms):
+    if not budget.try_spend(now_ms):
         return GiveUp(GiveUpReason.BUDGET, not_run)
     return Retry()
 
@@ -160,11 +160,11 @@
     unsafe = _find_unsafe_reason(attempt, not_run)
     if unsafe is not None:
         return unsafe
-    if attempt.marked_final:
-        return GiveUpReason.FINAL_BELOW
+    if attempt.retried_upstream:
+        return GiveUpReason.RETRIED_UPSTREAM
     if attempt.attempts >= rule.max_attempts:
         return GiveUpReason.ATTEMPTS
-    if attempt.remaining_ms <= max(0.0, attempt.expected_ms):
+    if attempt.remaining_ms <= max(0.0, attempt.estimated_ms):
         return GiveUpReason.DEADLINE
     return None
 
@@ -176,6 +176,6 @@
         return GiveUpReason.BYTES_DELIVERED
     if not not_run and not attempt.idempotent:
         return GiveUpReason.MAY_HAVE_RUN
-    if attempt.suspect or attempt.server_died:
+    if attempt.suspect or attempt.server_crashed:
         return GiveUpReason.SUSPECT
     return None
--- a/azurestep/traffic/connection.py
+++ b/azurestep/traffic/connection.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 connections to backend servers.
 
-Based on aiohttp's protocol and parser, without what a proxy doesn't need of its
-session: cookies, redirects, traces and header objects.
+Based on aiohttp's protocol and parser, without the session's cookies,
+redirects, traces and header objects, which a proxy doesn't need.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 READ_BUFFER_BYTES = 64 * 1024
 HEAD_METHOD = "HEAD"
-INFORMATIONAL = 200
+MIN_FINAL_STATUS = 200
 SWITCHING_PROTOCOLS = 101
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -102,6 +102,6 @@
     async def _read_head(self) -> Head:
         while True:
             message, payload = await self.read()
-            is_interim = message.code < INFORMATIONAL
-            if not is_interim or message.code == SWITCHING_PROTOCOLS:
+            is_informational = message.code < MIN_FINAL_STATUS
+            if not is_informational or message.code == SWITCHING_PROTOCOLS:
                 return Head(message, payload)
--- a/azurestep/traffic/table.py
+++ b/azurestep/traffic/table.py
@@ -38,12 +38,12 @@
 
     @property
     def priority(self) -> Priority:
-        """Class of the request."""
+        """Priority class of the request."""
         return self.route.priority
 
 
-def takes_non_idempotent(route: Route) -> bool:
-    """Return whether a route accepts requests that must run at most once."""
+def accepts_non_idempotent(route: Route) -> bool:
+    """Return whether a route accepts non-idempotent requests."""
     if route.idempotent is not None:
         return not route.idempotent
     return not route.methods or any(
@@ -86,13 +86,13 @@
             routes.sort(key=_specificity, reverse=True)
 
     @property
-    def once_services(self) -> frozenset[str]:
-        """Services that accept requests which must run at most once."""
+    def non_idempotent_services(self) -> frozenset[str]:
+        """Services that accept non-idempotent requests."""
         return frozenset(
             route.service
             for routes in self._routes.values()
             for route in routes
-            if takes_non_idempotent(route)
+            if accepts_non_idempotent(route)
         )
 
     def match(
