--- a/azurestep/balancing/__init__.py
+++ b/azurestep/balancing/__init__.py
@@ -26,7 +26,7 @@
    to the first byte of the answer.
 6. After a failure call ``finish``, then ``decide_retry``. For ``Retry`` call
    ``Admission.request`` again with the tried keys in ``avoid``. For ``ProbeFirst``
-   connect once to the same address, call the quarantine's ``record_death`` or
+   connect once to the same address, call the quarantine's ``record_crash`` or
    ``record_alive``, and call ``decide_retry`` again with ``server_died`` set.
    ``GiveUp.mark_final`` sets the ``Azurestep-Retried`` header of the answer;
    set ``marked_final`` if a backend server's answer has this header.
--- a/azurestep/http/client.py
+++ b/azurestep/http/client.py
@@ -12,7 +12,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 FIRST_FINAL_STATUS = 200
-WITHOUT_BODY = frozenset({204, 304})
+STATUSES_WITHOUT_BODY = frozenset({204, 304})
 REUSE_LIMIT_RATIO = 0.6
 """New reuse limit as a ratio of the idle time at which a connection was found closed,
 since the actual limit of the other end is lower than that time."""
@@ -55,13 +55,13 @@
         self._skipping = False
         self._until_close = False
         self._informational = False
-        self._dirty = False
+        self._must_close = False
         self._paused_writing = False
         self._paused_reading = False
         self._sent_whole = True
         self._parser = httptools.HttpResponseParser(self)
         self.lost = False
-        self.used = 0
+        self.request_count = 0
         self.idle_since_s = 0.0
         self.idle_ms = 0.0
         self.idle_limit_ms: float | None = None
@@ -73,7 +73,7 @@
     @property
     def usable(self) -> bool:
         """Whether the connection can carry another request."""
-        return not (self.lost or self._dirty or self._sink is not None)
+        return not (self.lost or self._must_close or self._sink is not None)
 
     @property
     def writable(self) -> bool:
@@ -85,7 +85,7 @@
         self._sink = sink
         self._skipping = False
         self._sent_whole = whole
-        self.used += 1
+        self.request_count += 1
         if self._transport is not None:
             self._transport.write(data)
 
@@ -104,7 +104,7 @@
 
     def close(self) -> None:
         """Close the connection."""
-        self._dirty = True
+        self._must_close = True
         if self._transport is not None:
             self._transport.close()
 
@@ -142,7 +142,7 @@
             self._fault(sink)
             raise (error.__context__ or error) from None
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._dirty = True
+            self._must_close = True
             self._fail("malformed")
             self.close()
 
@@ -153,7 +153,7 @@
         still has to be notified.
         """
         self._sink = None
-        self._dirty = True
+        self._must_close = True
         try:
             sink.on_failed(FAULT)
         finally:
@@ -162,7 +162,7 @@
     def eof_received(self) -> bool:
         """Complete an answer that ends with its connection."""
         if self._sink is not None and self._until_close and not self._skipping:
-            self._dirty = True
+            self._must_close = True
             self._finish()
         return False
 
@@ -175,7 +175,7 @@
         """Start a new answer."""
         self._headers = []
         if self._sink is None:
-            self._dirty = True
+            self._must_close = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header."""
@@ -187,13 +187,13 @@
         self._informational = status < FIRST_FINAL_STATUS
         if self._informational or self._sink is None:
             return
-        framed = status in WITHOUT_BODY or any(
+        framed = status in STATUSES_WITHOUT_BODY or any(
             name.lower() in (b"content-length", b"transfer-encoding")
             for name, _ in self._headers
         )
         self._until_close = not framed
         if not self._parser.should_keep_alive():
-            self._dirty = True
+            self._must_close = True
         self._skipping = not self._sink.on_head(status, self._headers)
 
     def on_body(self, data: bytes) -> None:
@@ -219,10 +219,10 @@
         self.resume_reading()
         sink, self._sink = self._sink, None
         if not self._sent_whole:
-            self._dirty = True
+            self._must_close = True
         if sink is not None:
-            sink.on_complete(not self._dirty)
-        if self._dirty and self._sink is None:
+            sink.on_complete(not self._must_close)
+        if self._must_close and self._sink is None:
             self.close()
 
     def _fail(self, reason: str) -> None:
--- a/azurestep/http/server.py
+++ b/azurestep/http/server.py
@@ -14,7 +14,7 @@
 from ..routing.model import Limits
 from .exchange import Exchange, Handler, Headers, answer_error
 
-HEAD_SLACK_BYTES = 65_536
+MAX_READ_PAST_HEAD_BYTES = 65_536
 MAX_PIPELINED_REQUESTS = 64
 
 
@@ -130,7 +130,10 @@
         self._last_activity_s = self._loop.time()
         if self._in_head:
             self._head_bytes += len(data)
-            if self._head_bytes > self.state.limits.header_bytes + HEAD_SLACK_BYTES:
+            if (
+                self._head_bytes
+                > self.state.limits.header_bytes + MAX_READ_PAST_HEAD_BYTES
+            ):
                 self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
                 return
         try:
@@ -304,10 +307,10 @@
             if closes:
                 transport.close()
                 return
-            self._begin_next_answer()
+            self._advance_pipeline()
         self._last_activity_s = self._loop.time()
 
-    def _begin_next_answer(self) -> None:
+    def _advance_pipeline(self) -> None:
         if self._paused_reading and len(self.exchanges) < MAX_PIPELINED_REQUESTS // 2:
             self.resume_reading()
         self._notify_writable()
--- a/azurestep/mesh/backend/crashes.py
+++ b/azurestep/mesh/backend/crashes.py
@@ -38,7 +38,7 @@
     return [
         [
             update.fingerprint,
-            [[key.host, key.port, key.incarnation] for key in update.deaths],
+            [[key.host, key.port, key.incarnation] for key in update.crashes],
             update.refused_for_ms,
         ]
         for update in updates
@@ -94,7 +94,7 @@
             key = self._key(request.incarnation)
             table.record_answer(fingerprint_of(request), key, now_ms)
 
-    def record_death(
+    def record_crash(
         self, service: str, incarnation: Incarnation, now_ms: float
     ) -> None:
         """Record that the local backend server died, and publish the updates."""
@@ -102,7 +102,7 @@
         if table is None:
             return
         key = self._key(incarnation)
-        updates = table.record_death(key, now_ms, self.count_servers(service))
+        updates = table.record_crash(key, now_ms, self.count_servers(service))
         if updates:
             self.publish(service, updates)
 
--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -197,7 +197,7 @@
         except OSError as error:
             self._set_unreachable(True, type(error).__name__)
             backend = self.backend
-            self.crashes.record_death(
+            self.crashes.record_crash(
                 backend.service, backend.incarnation, self.now_ms()
             )
             return None
@@ -242,7 +242,10 @@
         self.crashes.record_lost(request, self.now_ms())
         if len(self._runs) == 1:
             self.runtime.spawn(self._reconnect())
-        if connection.used > 1 and self.now_ms() - sent_ms < IDLE_CLOSE_WINDOW_MS:
+        if (
+            connection.request_count > 1
+            and self.now_ms() - sent_ms < IDLE_CLOSE_WINDOW_MS
+        ):
             self._reduce_reuse_limit(connection.idle_ms)
 
     def _reduce_reuse_limit(self, idle_ms: float) -> None:
--- a/azurestep/mesh/endpoints.py
+++ b/azurestep/mesh/endpoints.py
@@ -35,7 +35,7 @@
 def announcements(
     backend: Backend,
     runtime: Runtime,
-    is_service: Callable[[str], bool],
+    is_known_service: Callable[[str], bool],
     on_change: Callable[[], None],
 ) -> Handler:
     """Return the handler for heartbeats and leaving notices of the backend server.
@@ -46,7 +46,7 @@
         State of the local backend server.
     runtime : Runtime
         Source of the time.
-    is_service : Callable
+    is_known_service : Callable
         Whether the configuration in force names a service.
     on_change : Callable
         Called after each accepted announcement.
@@ -55,9 +55,9 @@
     def respond(exchange: Exchange, body: bytes) -> None:
         try:
             notice = read_announcement(exchange.target.decode("latin-1"), body)
-            _check_service(notice, backend, is_service)
+            _check_service(notice, backend, is_known_service)
         except MessageMalformedError as error:
-            events.log(events.ANNOUNCEMENT_REFUSED, cause=error.problem)
+            events.log(events.ANNOUNCEMENT_REJECTED, cause=error.problem)
             exchange.answer(400, JSON, b"{}")
             return
         before = (backend.incarnation, backend.is_leaving())
@@ -77,7 +77,7 @@
 def _check_service(
     notice: Heartbeat | LeavingNotice,
     backend: Backend,
-    is_service: Callable[[str], bool],
+    is_known_service: Callable[[str], bool],
 ) -> None:
     """Reject a heartbeat for a service that the configuration doesn't name.
 
@@ -87,7 +87,7 @@
     if not isinstance(notice, Heartbeat):
         return
     accepted_service = backend.announced_service(notice.instance_id)
-    if notice.service != accepted_service and not is_service(notice.service):
+    if notice.service != accepted_service and not is_known_service(notice.service):
         raise MessageMalformedError(
             f"{notice.instance_id[:80]!r} announces the unknown service"
             f" {notice.service!r}",
--- a/azurestep/mesh/events.py
+++ b/azurestep/mesh/events.py
@@ -9,7 +9,7 @@
 STOPPING = register(9002, logging.INFO, "sidecar shutting down")
 STOPPED = register(9003, logging.INFO, "sidecar stopped")
 RELOADED = register(9004, logging.INFO, "settings reloaded")
-SETTINGS_REFUSED = register(
+SETTINGS_REJECTED = register(
     9005, logging.ERROR, "settings rejected, previous ones kept", "correct the file"
 )
 TASK_FAILED = register(
@@ -44,7 +44,7 @@
 )
 STORE_REACHED = register(9102, logging.INFO, "platform store available again")
 VERSION = register(9103, logging.INFO, "configuration in force")
-VERSION_REFUSED = register(
+VERSION_REJECTED = register(
     9104,
     logging.ERROR,
     "configuration rejected, previous one kept",
@@ -81,7 +81,7 @@
 BACKEND_REPLACED = register(
     9305, logging.INFO, "another backend server responds at the address"
 )
-ANNOUNCEMENT_REFUSED = register(
+ANNOUNCEMENT_REJECTED = register(
     9306,
     logging.ERROR,
     "announcement rejected",
--- a/azurestep/mesh/knowledge/configuration.py
+++ b/azurestep/mesh/knowledge/configuration.py
@@ -52,7 +52,7 @@
         try:
             document = read_document(content)
         except ConfigurationError as error:
-            events.log(events.VERSION_REFUSED, source=source, cause=error.problem)
+            events.log(events.VERSION_REJECTED, source=source, cause=error.problem)
             return False
         if document.version <= self.version:
             return False
--- a/azurestep/mesh/line_writer.py
+++ b/azurestep/mesh/line_writer.py
@@ -21,7 +21,7 @@
     "log lines dropped above the rate limit",
     "use the counters of the metrics endpoint for totals",
 )
-RATE_LINES_S = 300.0
+MAX_LINES_PER_SECOND = 300.0
 """Rate limit in lines a second."""
 BURST_LINES = 600.0
 RESERVED_LINES = 300.0
@@ -70,7 +70,7 @@
             before others.
         """
         now_s = self.clock()
-        refilled = self._tokens + (now_s - self._refilled_s) * RATE_LINES_S
+        refilled = self._tokens + (now_s - self._refilled_s) * MAX_LINES_PER_SECOND
         self._tokens = min(BURST_LINES, refilled)
         self._refilled_s = now_s
         urgent = event.level >= logging.ERROR
--- a/azurestep/mesh/links/decoding.py
+++ b/azurestep/mesh/links/decoding.py
@@ -28,7 +28,7 @@
     Withdraw,
 )
 from ..messages import (
-    BUFFER_BYTES,
+    MAX_MESSAGE_BYTES,
     PROTOCOL_VERSION,
     Answer,
     Failure,
@@ -126,8 +126,8 @@
 
 def _build_hello(*fields: Any) -> Hello:
     hello = Hello(*fields)
-    if hello.format != PROTOCOL_VERSION:
-        raise ValueError(f"unsupported protocol format {hello.format}")
+    if hello.protocol_version != PROTOCOL_VERSION:
+        raise ValueError(f"unsupported protocol format {hello.protocol_version}")
     return hello
 
 
@@ -206,7 +206,7 @@
             raw=False,
             use_list=False,
             read_size=INITIAL_BUFFER_BYTES,
-            max_buffer_size=BUFFER_BYTES,
+            max_buffer_size=MAX_MESSAGE_BYTES,
             max_array_len=MAX_ARRAY_ITEMS,
         )
 
--- a/azurestep/mesh/messages.py
+++ b/azurestep/mesh/messages.py
@@ -15,7 +15,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 PROTOCOL_VERSION = 2
-BUFFER_BYTES = 96 * 1024 * 1024
+MAX_MESSAGE_BYTES = 96 * 1024 * 1024
 """Size limit of a message."""
 COMPRESSION_LEVEL = 1
 """Fastest level; higher ones save little more."""
@@ -74,7 +74,7 @@
 
     Attributes
     ----------
-    format : int
+    protocol_version : int
         Version of this protocol.
     peer_address : tuple
         Address at which the sender accepts links.
@@ -84,7 +84,7 @@
         Configuration in force at the sender; 0 for none.
     """
 
-    format: int
+    protocol_version: int
     peer_address: tuple[str, int]
     data_centre: str
     started_ms: int
@@ -252,12 +252,12 @@
     ValueError
         If the data can't be decompressed, is truncated or too long.
     """
-    expander = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        content = expander.decompress(data, BUFFER_BYTES)
+        content = decompressor.decompress(data, MAX_MESSAGE_BYTES)
     except zlib.error as error:
         raise ValueError("the configuration can't be decompressed") from error
-    if not expander.eof:
+    if not decompressor.eof:
         raise ValueError("the configuration is truncated or too long")
     return content
 
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -39,7 +39,7 @@
 
 TICK_S = 0.1
 """Interval of the main loop."""
-STATE_TICKS = 2
+STATE_BROADCAST_TICKS = 2
 """Ticks between checks whether to report the load to peers."""
 EXPIRY_TICKS = 10
 """Ticks between expirations of returning callers."""
@@ -47,7 +47,7 @@
 """Ticks between checks for a changed settings file."""
 READY_AFTER_MS = 600.0
 """Time after the start at which a node counts as ready even without links."""
-DISCOUNTED_PAUSE_MS = 30.0
+MIN_SUBTRACTED_DELAY_MS = 30.0
 """Tick delay above which it is subtracted from the response times of peers, whose
 answers may have been received but not yet read."""
 STALL_LOG_MS = 300.0
@@ -74,7 +74,7 @@
     configuration: Configuration = attrs.field(init=False)
     configuration_watcher: ConfigurationWatcher = attrs.field(init=False)
     discovery: Discovery = attrs.field(init=False)
-    calls: CallContext = attrs.field(init=False)
+    call_context: CallContext = attrs.field(init=False)
     outbound: Outbound = attrs.field(init=False)
     incoming_links: IncomingLinks = attrs.field(init=False)
     prober: Prober = attrs.field(init=False)
@@ -132,10 +132,10 @@
         budget = RetryBudget(
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_ms
         )
-        self.calls = CallContext(
+        self.call_context = CallContext(
             runtime, self.members, budget, settings.service, self.crashes
         )
-        self.outbound = Outbound(self.calls, lambda: self.configuration.table)
+        self.outbound = Outbound(self.call_context, lambda: self.configuration.table)
         self.incoming_links = IncomingLinks(
             runtime,
             self.inbound,
@@ -165,7 +165,7 @@
             self.outbound,
             self.inbound,
             self.incoming_links,
-            self._close_callers,
+            self._stop_accepting,
         )
 
     async def run(self) -> None:
@@ -240,15 +240,15 @@
         try:
             settings = read_settings(self.path)
         except SettingsError as error:
-            events.log(events.SETTINGS_REFUSED, cause=error.problem)
+            events.log(events.SETTINGS_REJECTED, cause=error.problem)
             return
         if settings == self.settings:
             events.log(events.RELOADED, changed=False)
             return
         self.settings = settings
         self.backend.drain_ms = settings.bounds.drain_ms
-        self.calls.calling_service = settings.service
-        budget = self.calls.retry_budget
+        self.call_context.calling_service = settings.service
+        budget = self.call_context.retry_budget
         budget.ratio = settings.bounds.retry_ratio
         budget.extra = settings.bounds.retry_extra
         budget.window_ms = settings.bounds.retry_window_ms
@@ -294,7 +294,7 @@
             self.is_stopping,
             self.inbound.health.failure_ratio,
             self.inbound.caller_detector.callers(),
-            self.calls.refusals.report(),
+            self.call_context.refusals.report(),
         )
 
     def schedule_state_broadcast(self) -> None:
@@ -345,7 +345,7 @@
             lambda kind: metrics.count("store_calls", kind),
         )
 
-    def _close_callers(self) -> None:
+    def _stop_accepting(self) -> None:
         listener = self._servers[0]
         self.runtime.spawn(close_listener(listener, self._make_caller_connection))
 
@@ -378,24 +378,24 @@
     def _tick(self, states: list[ServerState]) -> None:
         now_ms = self.runtime.now_ms()
         now_s = self.runtime.loop.time()
-        pause_ms = now_ms - self._last_tick_ms - TICK_S * 1000
+        delay_ms = now_ms - self._last_tick_ms - TICK_S * 1000
         self._last_tick_ms = now_ms
-        if pause_ms > STALL_LOG_MS:
-            events.log(events.LOOP_STALLED, pause_ms=round(pause_ms))
-        if pause_ms > DISCOUNTED_PAUSE_MS:
-            self.runtime.run_guarded("tick", self.members.discount_pause, pause_ms)
+        if delay_ms > STALL_LOG_MS:
+            events.log(events.LOOP_STALLED, pause_ms=round(delay_ms))
+        if delay_ms > MIN_SUBTRACTED_DELAY_MS:
+            self.runtime.run_guarded("tick", self.members.discount_pause, delay_ms)
         run_guarded = partial(self.runtime.run_guarded, "tick")
         run_guarded(self.members.tick, now_ms)
         run_guarded(self.inbound.tick)
         run_guarded(self.prober.check)
-        run_guarded(self.calls.refusals.tick)
-        run_guarded(self._update_pressure)
+        run_guarded(self.call_context.refusals.tick)
+        run_guarded(self._update_load_shedder)
         run_guarded(self.configuration_watcher.tick, now_ms)
         self._ticks += 1
-        if self._ticks % STATE_TICKS == 0:
+        if self._ticks % STATE_BROADCAST_TICKS == 0:
             run_guarded(self.schedule_state_broadcast)
         if self._ticks % EXPIRY_TICKS == 0:
-            run_guarded(self.calls.returning_callers.expire, now_ms)
+            run_guarded(self.call_context.returning_callers.expire, now_ms)
         if self._ticks % 5 == 0:
             for state in states:
                 run_guarded(state.sweep, now_s)
@@ -408,10 +408,10 @@
         if self.shutdown.advance(now_ms):
             self._stopped.set()
 
-    def _update_pressure(self) -> None:
-        self.outbound.load_shedder.update(self._reports())
+    def _update_load_shedder(self) -> None:
+        self.outbound.load_shedder.update(self._pressure_reports())
 
-    def _reports(self) -> list[PressureReport]:
+    def _pressure_reports(self) -> list[PressureReport]:
         states = [link.state for link in self.members.live_links()]
         states.append(self.state())
         return [
--- a/azurestep/mesh/runtime.py
+++ b/azurestep/mesh/runtime.py
@@ -81,8 +81,8 @@
     def fault_handler(self, place: str) -> Callable[[BaseException, bool], None]:
         """Return a handler that reports internal errors of HTTP connections."""
 
-        def handle(error: BaseException, contained: bool) -> None:
-            event = events.FAULT if contained else events.HANDLER_FAILED
+        def handle(error: BaseException, request_only: bool) -> None:
+            event = events.FAULT if request_only else events.HANDLER_FAILED
             self.report_fault(place, error, event)
 
         return handle
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -22,7 +22,7 @@
     ----------
     callers : ServerState
         Connections of callers.
-    close_callers : Callable
+    stop_accepting : Callable
         Stops accepting connections of callers.
     plan : ShutdownPlan or None
         Times of the steps; None until the shutdown begins.
@@ -34,7 +34,7 @@
     outbound: Outbound
     inbound: Inbound
     incoming_links: IncomingLinks
-    close_callers: Callable[[], None]
+    stop_accepting: Callable[[], None]
     plan: ShutdownPlan | None = None
 
     def begin(self, grace_ms: float) -> bool:
@@ -55,7 +55,7 @@
             return False
         if not self.outbound.closed:
             self.outbound.closed = True
-            self.close_callers()
+            self.stop_accepting()
             # Requests on just accepted connections are refused before the next call.
             return False
         busy = (
--- a/azurestep/node/suspects.py
+++ b/azurestep/node/suspects.py
@@ -12,7 +12,7 @@
 ) -> Iterator[SuspectRequest]:
     """Yield what peers are told of this node's quarantine."""
     for update in report.updates:
-        dead = [DeadServer(k.host, k.port, k.incarnation) for k in update.deaths]
+        dead = [DeadServer(k.host, k.port, k.incarnation) for k in update.crashes]
         yield SuspectRequest(
             own.data_centre,
             report.service,
@@ -26,6 +26,6 @@
 
 def quarantine_report(update: SuspectRequest) -> QuarantineReport:
     """Return what the proxy is told of a peer's quarantine."""
-    deaths = tuple(EndpointKey(d.host, d.port, d.incarnation) for d in update.dead)
-    learned = QuarantineUpdate(update.fingerprint, deaths, update.refused_for_ms)
+    crashes = tuple(EndpointKey(d.host, d.port, d.incarnation) for d in update.dead)
+    learned = QuarantineUpdate(update.fingerprint, crashes, update.refused_for_ms)
     return QuarantineReport(update.service, [learned])
--- a/azurestep/platform/announcement.py
+++ b/azurestep/platform/announcement.py
@@ -92,8 +92,8 @@
     born: NonNegativeInteger | msgspec.UnsetType = msgspec.UNSET
 
 
-_HEARTBEAT = msgspec.json.Decoder(_HeartbeatBody)
-_LEAVING = msgspec.json.Decoder(_LeavingBody)
+_HEARTBEAT_DECODER = msgspec.json.Decoder(_HeartbeatBody)
+_LEAVING_DECODER = msgspec.json.Decoder(_LeavingBody)
 
 
 def read_announcement(target: str, body: bytes) -> Heartbeat | LeavingNotice:
@@ -105,19 +105,21 @@
         If the path or the body doesn't match the format: a field is missing, of
         another type or out of range, or the state is unknown.
     """
-    instance_id, _, verb = target.partition("?")[0].removeprefix(PREFIX).partition("/")
-    if not instance_id or verb not in ("heartbeat", "deregister"):
+    instance_id, _, action = (
+        target.partition("?")[0].removeprefix(PREFIX).partition("/")
+    )
+    if not instance_id or action not in ("heartbeat", "deregister"):
         raise MessageMalformedError(
             f"{target[:80]!r} is not an announcement of a backend server",
             "Send a heartbeat or a deregistration",
         )
     try:
-        if verb == "deregister":
+        if action == "deregister":
             return _leaving(instance_id, body)
         return _heartbeat(instance_id, body)
     except (msgspec.DecodeError, RecursionError) as error:
         raise MessageMalformedError(
-            f"a {verb} of {instance_id[:80]!r} can't be read: {error}",
+            f"a {action} of {instance_id[:80]!r} can't be read: {error}",
             "Send address, information and status in the agreed format",
         ) from error
 
@@ -125,11 +127,11 @@
 def _leaving(instance_id: str, body: bytes) -> LeavingNotice:
     if not body.strip():
         return LeavingNotice(instance_id)
-    return LeavingNotice(instance_id, _started_ms(_LEAVING.decode(body).born))
+    return LeavingNotice(instance_id, _started_ms(_LEAVING_DECODER.decode(body).born))
 
 
 def _heartbeat(instance_id: str, body: bytes) -> Heartbeat:
-    fields = _HEARTBEAT.decode(body)
+    fields = _HEARTBEAT_DECODER.decode(body)
     return Heartbeat(
         instance_id=instance_id,
         service=fields.information.service,
--- a/azurestep/platform/client.py
+++ b/azurestep/platform/client.py
@@ -16,7 +16,7 @@
 APPEND_TIMEOUT_MS = 3000
 STATUS_REJECTED = frozenset({400, 404, 413})
 OK = 200
-OFFSET_MAXIMUM = 2**62
+BEYOND_END_OFFSET = 2**62
 
 
 class LogClient:
@@ -107,7 +107,7 @@
 
     async def next_offset(self, stream: str) -> Result[int, AzurestepError]:
         """Return the offset of the next append."""
-        result = await self.read(stream, from_offset=OFFSET_MAXIMUM, limit=1)
+        result = await self.read(stream, from_offset=BEYOND_END_OFFSET, limit=1)
         return result.map(lambda page: page.next_offset)
 
     async def _find(
@@ -167,13 +167,13 @@
 
 def _page_of(body: bytes, from_offset: int) -> Result[Page, AzurestepError]:
     try:
-        plain = orjson.loads(body)
+        fields = orjson.loads(body)
         records = [
             LogRecord(item["offset"], item["time_ms"], item["value"])
-            for item in plain["records"]
+            for item in fields["records"]
         ]
         return Success(
-            Page(plain["first_offset"], plain["next_offset"], records, from_offset)
+            Page(fields["first_offset"], fields["next_offset"], records, from_offset)
         )
     except (orjson.JSONDecodeError, KeyError, TypeError) as error:
         return Failure(_unavailable(f"unreadable answer: {error}"))
--- a/azurestep/platform/document.py
+++ b/azurestep/platform/document.py
@@ -13,7 +13,7 @@
 IDEMPOTENT_ROUTE_KINDS = frozenset({"safe", "download"})
 """Kinds of routes whose requests may run more than once."""
 DEFAULT_TIMEOUT_MS = 30_000.0
-LOWEST_PRIORITY = 9
+DEFAULT_PRIORITY = 9
 DEFAULT_CONNECTION_LIMIT = 100
 MAX_INTEGER = 2**53
 """Largest integer that all JSON parsers represent exactly."""
@@ -43,7 +43,7 @@
     traffic_split: list[_WeightedService] | None = None
     timeout: Duration | None = None
     aim: Duration | None = None
-    priority: NonNegativeInteger = LOWEST_PRIORITY
+    priority: NonNegativeInteger = DEFAULT_PRIORITY
     max_attempts: PositiveInteger = 1
 
 
@@ -69,7 +69,7 @@
     limits: _Limits
 
 
-_DOCUMENT = msgspec.json.Decoder(_Document)
+_DOCUMENT_DECODER = msgspec.json.Decoder(_Document)
 
 
 def read_document(content: bytes) -> Document:
@@ -82,7 +82,7 @@
         the document doesn't define.
     """
     try:
-        fields = _DOCUMENT.decode(content)
+        fields = _DOCUMENT_DECODER.decode(content)
     except (msgspec.DecodeError, RecursionError) as error:
         raise _configuration_error(str(error)) from error
     services = {name: _service(name, one) for name, one in fields.services.items()}
--- a/azurestep/platform/headers.py
+++ b/azurestep/platform/headers.py
@@ -17,7 +17,7 @@
 SERVER_LOAD = b"server-load"
 
 SET_BY_NODE = frozenset({DEADLINE, EXPECTED_INSTANCE, CALLING_SERVICE})
-HOP_BY_HOP = frozenset(
+NOT_FORWARDED = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -131,7 +131,7 @@
             continue
         elif lower == b"host":
             host = value
-        elif lower in HOP_BY_HOP or lower in SET_BY_NODE or lower in dropped:
+        elif lower in NOT_FORWARDED or lower in SET_BY_NODE or lower in dropped:
             continue
         forwarded.append((name, value))
     return CallerFields(host.lower(), request_id, remaining_ms, forwarded)
@@ -149,7 +149,7 @@
     """Read a backend server's headers."""
     values = {name.lower(): value for name, value in headers}
     connection_options = _connection_options(headers)
-    dropped = HOP_BY_HOP | connection_options | {SERVER_LOAD}
+    dropped = NOT_FORWARDED | connection_options | {SERVER_LOAD}
     keep_alive = values.get(b"keep-alive")
     return AnswerFields(
         request_id=values.get(REQUEST_ID, b""),
--- a/azurestep/platform/members.py
+++ b/azurestep/platform/members.py
@@ -19,7 +19,7 @@
     port: Annotated[int, msgspec.Meta(ge=1, le=MAX_PORT)]
 
 
-_MEMBER = msgspec.json.Decoder(_Member)
+_MEMBER_DECODER = msgspec.json.Decoder(_Member)
 
 
 def write_member(port: int) -> bytes:
@@ -50,7 +50,7 @@
     """
     try:
         ipaddress.ip_address(host)
-        fields = _MEMBER.decode(content)
+        fields = _MEMBER_DECODER.decode(content)
     except (ValueError, RecursionError) as error:
         raise MessageMalformedError(
             f"the record of node {host[:80]!r} can't be read: {error}",
--- a/azurestep/platform/store.py
+++ b/azurestep/platform/store.py
@@ -80,11 +80,11 @@
     has_more: bool = False
 
 
-_ITEM = msgspec.json.Decoder(_Item)
+_ITEM_DECODER = msgspec.json.Decoder(_Item)
 AnswerType = TypeVar("AnswerType")
 
 
-class Reply:
+class AnswerCollector:
     """Collects the answer to a call and resolves its future."""
 
     def __init__(self, future: "asyncio.Future[tuple[int, bytes]]") -> None:
@@ -255,7 +255,7 @@
             f"{method.decode()} {path} HTTP/1.1\r\nHost: {host}:{port}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
         )
-        connection.send(head.encode() + body, Reply(future), True)
+        connection.send(head.encode() + body, AnswerCollector(future), True)
         return await future
 
     def _append_outcome(self, status: int, content: bytes) -> AppendOutcome:
@@ -291,7 +291,7 @@
 def _decode_item(raw: msgspec.Raw) -> KeyedRecord | None:
     """Return a record of a page, or None if it is malformed."""
     try:
-        item = _ITEM.decode(raw)
+        item = _ITEM_DECODER.decode(raw)
         value = base64.b64decode(item.value or "", validate=True)
     except (msgspec.DecodeError, binascii.Error, RecursionError):
         return None
--- a/azurestep/quarantine/suspects.py
+++ b/azurestep/quarantine/suspects.py
@@ -23,14 +23,14 @@
     ----------
     fingerprint : int
         Fingerprint of the request.
-    deaths : tuple of EndpointKey
+    crashes : tuple of EndpointKey
         Backend servers that died with it in flight.
     refused_for_ms : float
         Time left of the quarantine; 0 for a suspect.
     """
 
     fingerprint: int
-    deaths: tuple[EndpointKey, ...]
+    crashes: tuple[EndpointKey, ...]
     refused_for_ms: float = 0.0
 
 
@@ -40,14 +40,14 @@
 
     Attributes
     ----------
-    deaths : set of EndpointKey
+    crashes : set of EndpointKey
         Backend servers that died with it in flight.
     pending : dict
         Times at which connections were lost with it in flight, by backend server,
         until that server is known to be dead or alive.
-    survivals : int
+    answers : int
         Number of answers since it was first suspected.
-    running : dict
+    in_flight : dict
         Attempts in flight, by backend server.
     refused_until_ms : float
         End of the quarantine; negative infinity for none.
@@ -55,9 +55,9 @@
         When the record expires.
     """
 
-    deaths: set[EndpointKey] = attrs.field(factory=set)
+    crashes: set[EndpointKey] = attrs.field(factory=set)
     pending: dict[EndpointKey, float] = attrs.field(factory=dict)
-    survivals: int = 0
-    running: dict[EndpointKey, int] = attrs.field(factory=dict)
+    answers: int = 0
+    in_flight: dict[EndpointKey, int] = attrs.field(factory=dict)
     refused_until_ms: float = float("-inf")
     expiry_ms: float = float("inf")
--- a/azurestep/quarantine/table.py
+++ b/azurestep/quarantine/table.py
@@ -3,9 +3,9 @@
 A fingerprint whose request was in flight on a backend server that died is a
 suspect. It is refused if all of these hold:
 
-- it was in flight at the deaths of ``deaths_to_refuse`` distinct servers,
-- those deaths outnumber its answers, and
-- a coincidence is improbable at the recent rate of other deaths.
+- it was in flight at the crashes of ``crashes_to_refuse`` distinct servers,
+- those crashes outnumber its answers, and
+- a coincidence is improbable at the recent rate of other crashes.
 """
 
 from collections import OrderedDict, deque
@@ -14,15 +14,15 @@
 from ..endpoint_key import EndpointKey
 from .suspects import QuarantineStatus, QuarantineUpdate, Suspect
 
-DEATHS_TO_REFUSE = 2
+CRASHES_TO_REFUSE = 2
 TABLE_SIZE = 1024
 REFUSAL_MS = 600_000.0
-SUSPICION_MS = 300_000.0
-PENDING_MS = 10_000.0
-DEATH_WINDOW_MS = 10_000.0
-MAX_PROBABILITY = 0.01
-PRIOR_DEATHS = 0.1
-MAX_RECORDED_DEATHS = 256
+SUSPECT_EXPIRY_MS = 300_000.0
+UNCONFIRMED_LOSS_MS = 10_000.0
+CRASH_WINDOW_MS = 10_000.0
+MAX_COINCIDENCE_PROBABILITY = 0.01
+PRIOR_CRASHES = 0.1
+MAX_RECORDED_CRASHES = 256
 
 
 class Quarantine:
@@ -30,28 +30,28 @@
 
     Parameters
     ----------
-    deaths_to_refuse : int
-        Number of distinct deaths required to refuse a fingerprint.
+    crashes_to_refuse : int
+        Number of distinct crashes required to refuse a fingerprint.
     size : int
         Maximum number of records; the least recently used one is evicted first.
-    weigh_chance : bool
+    check_coincidence : bool
         Whether the probability of a coincidence is considered.
     """
 
     def __init__(
         self,
-        deaths_to_refuse: int = DEATHS_TO_REFUSE,
+        crashes_to_refuse: int = CRASHES_TO_REFUSE,
         size: int = TABLE_SIZE,
-        weigh_chance: bool = True,
+        check_coincidence: bool = True,
     ) -> None:
-        self._deaths_to_refuse = deaths_to_refuse
+        self._crashes_to_refuse = crashes_to_refuse
         self._size = size
-        self._weigh_chance = weigh_chance
+        self._check_coincidence = check_coincidence
         self._suspects: OrderedDict[int, Suspect] = OrderedDict()
-        self._deaths: deque[tuple[float, EndpointKey]] = deque(
-            maxlen=MAX_RECORDED_DEATHS
+        self._crashes: deque[tuple[float, EndpointKey]] = deque(
+            maxlen=MAX_RECORDED_CRASHES
         )
-        self._dead: dict[EndpointKey, float] = {}
+        self._crashed: dict[EndpointKey, float] = {}
         self._servers = 1
 
     def __len__(self) -> int:
@@ -69,7 +69,7 @@
             return QuarantineStatus.CLEAR
         if suspect.refused_until_ms > now_ms:
             return QuarantineStatus.REFUSED
-        if len(suspect.deaths) > suspect.survivals or suspect.pending:
+        if len(suspect.crashes) > suspect.answers or suspect.pending:
             return QuarantineStatus.SUSPECT
         return QuarantineStatus.CLEAR
 
@@ -81,7 +81,7 @@
         return tuple(
             key
             for suspect in self._suspects.values()
-            for key, count in suspect.running.items()
+            for key, count in suspect.in_flight.items()
             if count > 0
         )
 
@@ -89,7 +89,7 @@
         """Record the start of an attempt."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
-            suspect.running[key] = suspect.running.get(key, 0) + 1
+            suspect.in_flight[key] = suspect.in_flight.get(key, 0) + 1
 
     def record_answer(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
         """Record an answer to an attempt, which the server survived."""
@@ -97,8 +97,8 @@
         if suspect is None:
             return
         self._count_end(suspect, key)
-        suspect.survivals += 1
-        if suspect.survivals >= len(suspect.deaths) and not suspect.pending:
+        suspect.answers += 1
+        if suspect.answers >= len(suspect.crashes) and not suspect.pending:
             self._drop(fingerprint)
 
     def record_end(self, fingerprint: int, key: EndpointKey) -> None:
@@ -111,12 +111,12 @@
         """Record a connection lost before the first byte of the answer."""
         suspect = self._get_or_create(fingerprint, now_ms)
         self._count_end(suspect, key)
-        if key in self._dead:
-            self._attribute_death(suspect, key, now_ms)
+        if key in self._crashed:
+            self._attribute_crash(suspect, key, now_ms)
             return
         suspect.pending[key] = now_ms
 
-    def record_death(
+    def record_crash(
         self, key: EndpointKey, now_ms: float, servers: int
     ) -> list[QuarantineUpdate]:
         """Record the confirmed death of a backend server.
@@ -135,15 +135,15 @@
         list of QuarantineUpdate
             Updates for the other nodes.
         """
-        if key in self._dead:
+        if key in self._crashed:
             return []
-        self._add_death(key, now_ms)
+        self._add_crash(key, now_ms)
         self._servers = max(servers, 1)
         updates = []
         for fingerprint, suspect in self._suspects.items():
             if suspect.pending.pop(key, None) is None:
                 continue
-            self._attribute_death(suspect, key, now_ms)
+            self._attribute_crash(suspect, key, now_ms)
             updates.append(self._make_update(fingerprint, suspect, now_ms))
         return updates
 
@@ -151,7 +151,7 @@
         """Record that a server is alive in spite of lost connections."""
         for fingerprint, suspect in list(self._suspects.items()):
             suspect.pending.pop(key, None)
-            if not suspect.pending and not suspect.deaths:
+            if not suspect.pending and not suspect.crashes:
                 self._drop(fingerprint)
 
     def export(self, now_ms: float) -> list[QuarantineUpdate]:
@@ -159,7 +159,7 @@
         return [
             self._make_update(fingerprint, suspect, now_ms)
             for fingerprint, suspect in self._suspects.items()
-            if suspect.deaths
+            if suspect.crashes
         ]
 
     def merge(
@@ -184,21 +184,21 @@
             self._servers = max(servers, 1)
         for update in updates:
             suspect = self._get_or_create(update.fingerprint, now_ms)
-            for key in update.deaths:
-                if key not in self._dead:
-                    self._add_death(key, now_ms)
-                suspect.deaths.add(key)
+            for key in update.crashes:
+                if key not in self._crashed:
+                    self._add_crash(key, now_ms)
+                suspect.crashes.add(key)
             until_ms = now_ms + min(update.refused_for_ms, REFUSAL_MS)
             if update.refused_for_ms > 0:
                 suspect.refused_until_ms = max(suspect.refused_until_ms, until_ms)
-            self._refuse_likely_cause(suspect, now_ms)
+            self._refuse_if_likely_cause(suspect, now_ms)
 
     def _get_current(self, fingerprint: int, now_ms: float) -> Suspect | None:
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return None
         _expire_pending(suspect, now_ms)
-        if now_ms >= suspect.expiry_ms or not (suspect.deaths or suspect.pending):
+        if now_ms >= suspect.expiry_ms or not (suspect.crashes or suspect.pending):
             self._drop(fingerprint)
             return None
         return suspect
@@ -209,7 +209,7 @@
             suspect = Suspect()
             self._suspects[fingerprint] = suspect
         self._suspects.move_to_end(fingerprint)
-        suspect.expiry_ms = now_ms + SUSPICION_MS
+        suspect.expiry_ms = now_ms + SUSPECT_EXPIRY_MS
         while len(self._suspects) > self._size:
             self._suspects.popitem(last=False)
         return suspect
@@ -218,50 +218,54 @@
         del self._suspects[fingerprint]
 
     def _count_end(self, suspect: Suspect, key: EndpointKey) -> None:
-        count = suspect.running.get(key, 0) - 1
+        count = suspect.in_flight.get(key, 0) - 1
         if count > 0:
-            suspect.running[key] = count
+            suspect.in_flight[key] = count
         else:
-            suspect.running.pop(key, None)
+            suspect.in_flight.pop(key, None)
 
-    def _add_death(self, key: EndpointKey, now_ms: float) -> None:
-        if len(self._deaths) == self._deaths.maxlen:
-            self._dead.pop(self._deaths[0][1], None)
-        self._deaths.append((now_ms, key))
-        self._dead[key] = now_ms
+    def _add_crash(self, key: EndpointKey, now_ms: float) -> None:
+        if len(self._crashes) == self._crashes.maxlen:
+            self._crashed.pop(self._crashes[0][1], None)
+        self._crashes.append((now_ms, key))
+        self._crashed[key] = now_ms
 
-    def _attribute_death(
+    def _attribute_crash(
         self, suspect: Suspect, key: EndpointKey, now_ms: float
     ) -> None:
-        suspect.deaths.add(key)
-        self._refuse_likely_cause(suspect, now_ms)
+        suspect.crashes.add(key)
+        self._refuse_if_likely_cause(suspect, now_ms)
 
-    def _refuse_likely_cause(self, suspect: Suspect, now_ms: float) -> None:
-        count = len(suspect.deaths)
-        if count < self._deaths_to_refuse or suspect.survivals >= count:
+    def _refuse_if_likely_cause(self, suspect: Suspect, now_ms: float) -> None:
+        count = len(suspect.crashes)
+        if count < self._crashes_to_refuse or suspect.answers >= count:
             return
-        if self._weigh_chance and self._probability(suspect, now_ms) > MAX_PROBABILITY:
+        if (
+            self._check_coincidence
+            and self._coincidence_probability(suspect, now_ms)
+            > MAX_COINCIDENCE_PROBABILITY
+        ):
             return
         suspect.refused_until_ms = max(suspect.refused_until_ms, now_ms + REFUSAL_MS)
         suspect.expiry_ms = max(suspect.expiry_ms, suspect.refused_until_ms)
 
-    def _probability(self, suspect: Suspect, now_ms: float) -> float:
-        window_start_ms = now_ms - DEATH_WINDOW_MS
+    def _coincidence_probability(self, suspect: Suspect, now_ms: float) -> float:
+        window_start_ms = now_ms - CRASH_WINDOW_MS
         others = sum(
-            at_ms >= window_start_ms and key not in suspect.deaths
-            for at_ms, key in self._deaths
+            at_ms >= window_start_ms and key not in suspect.crashes
+            for at_ms, key in self._crashes
         )
-        ratio = min(1.0, (others + PRIOR_DEATHS) / self._servers)
-        return ratio ** len(suspect.deaths)
+        ratio = min(1.0, (others + PRIOR_CRASHES) / self._servers)
+        return ratio ** len(suspect.crashes)
 
     def _make_update(
         self, fingerprint: int, suspect: Suspect, now_ms: float
     ) -> QuarantineUpdate:
         refused_for_ms = max(0.0, suspect.refused_until_ms - now_ms)
-        return QuarantineUpdate(fingerprint, tuple(suspect.deaths), refused_for_ms)
+        return QuarantineUpdate(fingerprint, tuple(suspect.crashes), refused_for_ms)
 
 
 def _expire_pending(suspect: Suspect, now_ms: float) -> None:
     for key, lost_ms in list(suspect.pending.items()):
-        if now_ms - lost_ms > PENDING_MS:
+        if now_ms - lost_ms > UNCONFIRMED_LOSS_MS:
             del suspect.pending[key]
--- a/azurestep/routing/table.py
+++ b/azurestep/routing/table.py
@@ -6,7 +6,7 @@
 
 from .model import Document, Limits, Route, Service, WeightedService
 
-MAX_SKIPPED_REQUESTS = 1000
+MAX_START_POSITION = 1000
 """Bound of the random start position; ten rounds for weights in whole percents."""
 
 
@@ -24,10 +24,10 @@
     """
 
     weighted_services: tuple[WeightedService, ...]
-    _credit: list[float] = attrs.field(init=False)
+    _current_weights: list[float] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._credit = [0.0] * len(self.weighted_services)
+        self._current_weights = [0.0] * len(self.weighted_services)
 
     @classmethod
     def with_random_start(
@@ -39,7 +39,7 @@
         at each node the smaller services would get less than their share.
         """
         split = cls(weighted_services)
-        for _ in range(random.randrange(MAX_SKIPPED_REQUESTS)):
+        for _ in range(random.randrange(MAX_START_POSITION)):
             split.next_service()
         return split
 
@@ -48,11 +48,11 @@
         total = 0.0
         best = 0
         for index, part in enumerate(self.weighted_services):
-            self._credit[index] += part.weight
+            self._current_weights[index] += part.weight
             total += part.weight
-            if self._credit[index] > self._credit[best]:
+            if self._current_weights[index] > self._current_weights[best]:
                 best = index
-        self._credit[best] -= total
+        self._current_weights[best] -= total
         return self.weighted_services[best].service
 
 
--- a/azurestep/traffic/pool.py
+++ b/azurestep/traffic/pool.py
@@ -124,7 +124,7 @@
         self._dead[key] = None
         if len(self._dead) > MAX_DEAD_SERVERS:
             del self._dead[next(iter(self._dead))]
-        updates = self.quarantine.record_death(key, now_ms, len(self.endpoints))
+        updates = self.quarantine.record_crash(key, now_ms, len(self.endpoints))
         if updates:
             self._on_report(QuarantineReport(self._service.name, updates))
 
--- a/bench/quarantine_trial.py
+++ b/bench/quarantine_trial.py
@@ -29,11 +29,11 @@
 
 @attrs.frozen
 class QuarantinePolicy:
-    """How the quarantine is set; ``deaths`` 0 means none."""
+    """How the quarantine is set; ``crashes_to_refuse`` 0 means none."""
 
     name: str
-    deaths: int
-    weigh_chance: bool = True
+    crashes_to_refuse: int
+    check_coincidence: bool = True
     isolate: bool = True
 
 
@@ -106,9 +106,10 @@
         self.timeline = Timeline()
         self.source = random.Random(seed)
         self.servers = [CrashingServer(number) for number in range(scenario.servers)]
-        deaths = max(policy.deaths, 1)
+        crashes_to_refuse = max(policy.crashes_to_refuse, 1)
         self.quarantines = [
-            Quarantine(deaths, weigh_chance=policy.weigh_chance) for _ in range(NODES)
+            Quarantine(crashes_to_refuse, check_coincidence=policy.check_coincidence)
+            for _ in range(NODES)
         ]
         self.taken_down = 0
         self.poison_refused = 0
@@ -151,7 +152,7 @@
         self.sent += fingerprint != POISON
         quarantine = self.quarantines[node]
         avoid: tuple[EndpointKey, ...] = ()
-        if self.policy.deaths and quarantine.active:
+        if self.policy.crashes_to_refuse and quarantine.active:
             standing = quarantine.status_of(fingerprint, now_ms)
             if standing is QuarantineStatus.REFUSED:
                 self._refuse(fingerprint)
@@ -217,7 +218,7 @@
     def _confirm(self, key: EndpointKey) -> None:
         now_ms = self.timeline.now_ms
         for node, quarantine in enumerate(self.quarantines):
-            news = quarantine.record_death(key, now_ms, self.scenario.servers)
+            news = quarantine.record_crash(key, now_ms, self.scenario.servers)
             if news:
                 self.timeline.at(now_ms + GOSSIP_MS, self._gossip, node, news)
 
@@ -233,8 +234,8 @@
 
 POLICIES = [
     QuarantinePolicy("none", 0),
-    QuarantinePolicy("K=1, no chance weighed", 1, weigh_chance=False),
-    QuarantinePolicy("K=2, plain", 2, weigh_chance=False, isolate=False),
+    QuarantinePolicy("K=1, no chance weighed", 1, check_coincidence=False),
+    QuarantinePolicy("K=2, plain", 2, check_coincidence=False, isolate=False),
     QuarantinePolicy("K=2, chance weighed", 2, isolate=False),
     QuarantinePolicy("K=2, chance and isolation", 2),
     QuarantinePolicy("K=3, chance and isolation", 3),
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -150,7 +150,7 @@
 @strike.register
 async def _(fault: plan.StoreForgets, stage: Stage) -> None:
     for topic in stage.fleet.store.topics.values():
-        topic.forget()
+        topic.truncate()
 
 
 @strike.register
--- a/standins/store.py
+++ b/standins/store.py
@@ -65,7 +65,7 @@
         grown, self.grown = self.grown, asyncio.Event()
         grown.set()
 
-    def forget(self) -> None:
+    def truncate(self) -> None:
         """Drop the history; the newest record of each key stays."""
         self.first_offset = self.end_offset
         self.records = []
--- a/tests/fixtures_mesh.py
+++ b/tests/fixtures_mesh.py
@@ -128,7 +128,7 @@
         """Start the node of an instance."""
         instance.task = asyncio.create_task(instance.node.run())
 
-    async def settle(self) -> None:
+    async def wait_until_connected(self) -> None:
         """Wait until all nodes know the configuration and all backend servers."""
         for instance in self.instances:
             await instance.node.listening.wait()
@@ -138,11 +138,15 @@
                 await asyncio.sleep(0.02)
 
     async def get(
-        self, instance: MeshInstance, path: str, name: str, budget_ms: int = 2000
+        self,
+        instance: MeshInstance,
+        path: str,
+        request_id: str,
+        remaining_ms: int = 2000,
     ) -> tuple[int, bytes]:
         """Send a GET request as a caller."""
         async with self.session.get(
-            instance.url(path), headers=caller_headers(name, budget_ms)
+            instance.url(path), headers=caller_headers(request_id, remaining_ms)
         ) as answer:
             return answer.status, await answer.read()
 
@@ -176,12 +180,12 @@
         return Node(settings, self.path, Runtime(asyncio.get_running_loop()))
 
 
-def caller_headers(name: str, budget_ms: int = 2000) -> dict[str, str]:
+def caller_headers(request_id: str, remaining_ms: int = 2000) -> dict[str, str]:
     """Return the headers of a caller's request."""
     return {
         "Host": "shop.example",
-        "Attempt-Id": name,
-        "Deadline-Milliseconds": str(budget_ms),
+        "Attempt-Id": request_id,
+        "Deadline-Milliseconds": str(remaining_ms),
     }
 
 
@@ -207,7 +211,7 @@
         mesh = MeshFleet(mesh_store, session, tmp_path / "settings.json")
         for index in (1, 2, 3):
             await mesh.add(index)
-        await mesh.settle()
+        await mesh.wait_until_connected()
         yield mesh
         await mesh.stop()
 
--- a/tests/test_balancing_quarantine.py
+++ b/tests/test_balancing_quarantine.py
@@ -19,7 +19,7 @@
     for one in fingerprints:
         quarantine.record_start(one, server(number), now_ms)
         quarantine.record_loss(one, server(number), now_ms + 1)
-    return quarantine.record_death(server(number), now_ms + 2, SERVERS)
+    return quarantine.record_crash(server(number), now_ms + 2, SERVERS)
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize(("deaths", "weigh"), [(1, False), (2, True), (3, True)])
 def test_a_request_is_refused_from_the_configured_number_of_deaths(deaths, weigh):
-    quarantine = Quarantine(deaths_to_refuse=deaths, weigh_chance=weigh)
+    quarantine = Quarantine(crashes_to_refuse=deaths, check_coincidence=weigh)
     for number in range(deaths):
         assert quarantine.status_of(POISON, 20_000.0) is not QuarantineStatus.REFUSED
         crash(quarantine, number, 20_000.0 * (number + 1))
@@ -85,7 +85,7 @@
 
 
 def test_without_weigh_chance_simultaneous_deaths_blame_a_request():
-    quarantine = Quarantine(weigh_chance=False)
+    quarantine = Quarantine(check_coincidence=False)
     for number in range(SERVERS - 2):
         crash(quarantine, number, 10.0 * number, [1000 + number])
     crash(quarantine, 4, 50.0, [INNOCENT])
@@ -146,7 +146,7 @@
         elif action == "a":
             quarantine.record_answer(one, key, now_ms)
         elif action == "d":
-            quarantine.record_death(key, now_ms, 9)
+            quarantine.record_crash(key, now_ms, 9)
             deaths.add(key)
         elif action == "e":
             quarantine.record_end(one, key)
--- a/tests/test_mesh_crashes.py
+++ b/tests/test_mesh_crashes.py
@@ -42,7 +42,7 @@
 
 def crash(tracker: CrashTracker, request: Request, now_ms: float) -> None:
     tracker.record_lost(request, now_ms)
-    tracker.record_death("shop", request.incarnation, now_ms + 1)
+    tracker.record_crash("shop", request.incarnation, now_ms + 1)
 
 
 def test_a_request_in_flight_at_two_deaths_is_quarantined(
@@ -61,7 +61,7 @@
     for name in (b"i-1", b"i-2", b"i-3"):
         tracker.record_lost(request(instance_id=name), 0.0)
         tracker.record_alive("shop", Incarnation(name))
-        tracker.record_death("shop", Incarnation(name), 1.0)
+        tracker.record_crash("shop", Incarnation(name), 1.0)
     assert not tracker.is_quarantined(request(), 30.0)
 
 
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -242,7 +242,7 @@
 
 def test_other_protocol_version_is_rejected() -> None:
     decoder = Decoder(OF_CALLED_NODES)
-    other = attrs.evolve(HELLO, format=PROTOCOL_VERSION + 1)
+    other = attrs.evolve(HELLO, protocol_version=PROTOCOL_VERSION + 1)
     assert decoder.feed(encode(Kind.HELLO, *fields_of(other))) == []
     assert "format" in decoder.fault
 
--- a/tests/test_mesh_foreign_records.py
+++ b/tests/test_mesh_foreign_records.py
@@ -36,7 +36,7 @@
     ("status", "sequence"),
     ("status", "cold_remaining"),
 ]
-VALUES_OF_WRONG_TYPE = [True, None, [], {}, 1.5, -3, 10**30, "", "12", "\u0000"]
+INVALID_VALUES = [True, None, [], {}, 1.5, -3, 10**30, "", "12", "\u0000"]
 
 
 def with_field(path: tuple[str, ...], value: object) -> bytes:
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("path", [*FIELDS, ("born",)])
-@pytest.mark.parametrize("value", VALUES_OF_WRONG_TYPE, ids=repr)
+@pytest.mark.parametrize("value", INVALID_VALUES, ids=repr)
 def test_field_of_wrong_type_is_rejected(path: tuple[str, ...], value: object) -> None:
     if path[-1] in ("version", "zone") and isinstance(value, str):
         return
--- a/tests/test_mesh_incarnations.py
+++ b/tests/test_mesh_incarnations.py
@@ -77,7 +77,7 @@
     assert not backend.is_open()
 
 
-def test_end_of_an_earlier_incarnation_does_not_affect_the_new_one(
+def test_crash_of_an_earlier_incarnation_does_not_affect_the_new_one(
     backend: Backend,
 ) -> None:
     backend.mark_gone(Incarnation(b"i-1", 1_000))
@@ -87,7 +87,7 @@
     assert backend.is_open()
 
 
-def test_late_end_of_an_earlier_incarnation_keeps_the_new_one(
+def test_late_crash_of_an_earlier_incarnation_does_not_affect_the_new_one(
     backend: Backend,
 ) -> None:
     backend.apply_heartbeat(RESTARTED, 10.0)
@@ -168,7 +168,7 @@
     for now_ms, started_ms in ((0.0, 1_000), (20.0, 9_000)):
         request = attrs.evolve(crash_request(), server_started_ms=started_ms)
         tracker.record_lost(request, now_ms)
-        tracker.record_death("shop", request.incarnation, now_ms + 1)
+        tracker.record_crash("shop", request.incarnation, now_ms + 1)
     assert tracker.is_quarantined(crash_request(), 30.0)
 
 
--- a/tests/test_mesh_lines.py
+++ b/tests/test_mesh_lines.py
@@ -29,7 +29,7 @@
     for index in range(int(BURST_LINES) + 1):
         writer.add(events.CALL_ENDED, {"id": index})
     dropped = writer.dropped
-    writer.add(events.VERSION_REFUSED, {"cause": "x"})
+    writer.add(events.VERSION_REJECTED, {"cause": "x"})
     assert writer.dropped == dropped
 
 
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -101,6 +101,6 @@
     answers = await asyncio.gather(*calls)
     refused = [status for status, _ in answers].count(503)
     assert refused >= 20
-    (report,) = node.calls.refusals.report()
+    (report,) = node.call_context.refusals.report()
     assert report[:2] == ("shop", 2)
     assert report[2] > 0.2
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -51,7 +51,7 @@
     for instance in mesh.instances:
         await instance.beat(mesh.session, "draining")
     assert (await mesh.get(asked, "/read/7", "r1", 900))[0] == 503
-    returning = asked.node.calls.returning_callers
+    returning = asked.node.call_context.returning_callers
     now_ms = asked.node.runtime.now_ms()
     request_key = (b"GET", b"shop.example", b"/read/7")
     found_ms = returning.first_attempt_ms(request_key, now_ms, now_ms + 895)
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -265,7 +265,7 @@
     with slow_caller() as caller:
         await loop.sock_connect(caller, (stopping.host, CALLER_PORT))
         await loop.sock_sendall(caller, get_bytes("d1"))
-        await eventually(lambda: bool(stopping.node.calls.calls_in_flight))
+        await eventually(lambda: bool(stopping.node.call_context.calls_in_flight))
         await stop(stopping)
     lines = mesh_lines.of(events.STOPPED.number, events.CALL_FAILED.number)
     cut = [line for line in lines if line["event"] == events.CALL_FAILED.number]
@@ -299,7 +299,7 @@
     for instance in mesh.instances:
         instance.server.work_s = 0.2
     held = asyncio.create_task(mesh.get(stopping, "/read/1", "held-1"))
-    await eventually(lambda: bool(stopping.node.calls.calls_in_flight))
+    await eventually(lambda: bool(stopping.node.call_context.calls_in_flight))
     stopping.node.stop()
     plan = stopping.node.shutdown.plan
     assert plan is not None
--- a/tests/test_mesh_stopping_uploads.py
+++ b/tests/test_mesh_stopping_uploads.py
@@ -62,7 +62,7 @@
         for name, status in zip(NAMES, statuses, strict=True):
             runs = sum(item.server.runs[name] for item in self.mesh.instances)
             assert runs <= (0 if status == NOT_RUN else 1)
-        assert not self.asked.node.calls.calls_in_flight
+        assert not self.asked.node.call_context.calls_in_flight
 
 
 @pytest_asyncio.fixture
--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -69,7 +69,7 @@
     client: StoreClient, mesh_store: StoreStandIn
 ) -> None:
     await client.append(TOPIC, [b"a", b"b"])
-    mesh_store.topic(TOPIC).forget()
+    mesh_store.topic(TOPIC).truncate()
     assert await client.read(TOPIC, 0, 0) == Truncated(2)
 
 
@@ -106,7 +106,7 @@
         assert found == outcome
 
 
-async def test_store_rejects_only_refused_hosts(
+async def test_stand_in_rejects_refused_hosts(
     client: StoreClient, mesh_store: StoreStandIn
 ) -> None:
     mesh_store.refused_hosts.add("127.0.0.1")
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -720,7 +720,7 @@
         "10.0.0.1", lambda name, news: told.append([name, news]), lambda service: 5
     )
     tracker.record_lost(request(True), 100.0)
-    tracker.record_death("songs", Incarnation(b"i-1", 77), 110.0)
+    tracker.record_crash("songs", Incarnation(b"i-1", 77), 110.0)
     [[service, news]] = told
     check("told_crashes", [service, crashes.encode_updates(news)])
 
@@ -813,7 +813,7 @@
     names = [value for value in values if isinstance(value, str)]
     check("header_names", sorted(names))
     check("headers_of_one_connection", traffic_headers.HOP_BY_HOP)
-    check("headers_of_one_connection_platform", platform_headers.HOP_BY_HOP)
+    check("headers_of_one_connection_platform", platform_headers.NOT_FORWARDED)
 
 
 def shown(answer: web.Response) -> Any:
--- a/tests/test_platform_checkpoints.py
+++ b/tests/test_platform_checkpoints.py
@@ -26,9 +26,19 @@
 
 @pytest.fixture
 async def control(fake_log):
-    pace = ControlSettings(checkpoint_interval_ms=INTERVAL_MS, checkpoint_records=10)
+    control_settings = ControlSettings(
+        checkpoint_interval_ms=INTERVAL_MS, checkpoint_records=10
+    )
     settings = Settings(
-        "n1", "kingston", "127.0.0.1", 1, 2, 3, 4, "http://127.0.0.1:9", control=pace
+        "n1",
+        "kingston",
+        "127.0.0.1",
+        1,
+        2,
+        3,
+        4,
+        "http://127.0.0.1:9",
+        control=control_settings,
     )
     service = ControlService(settings, Environment(clock=FakeClock()), asyncio.Queue())
     fake_log.publish("first", 0, initial_change())
--- a/tests/test_start_costs.py
+++ b/tests/test_start_costs.py
@@ -76,7 +76,7 @@
     await service.links.close()
 
 
-async def test_report_does_not_rebuild_the_directory(control):
+async def test_report_does_not_rebuild_the_endpoint_directory(control):
     control._refresh_directory(0.0)
     before = control.traffic.qsize()
     report = DataCentreReport("dc-2", 1, "b", 1, b"", 1, 1, [], 0, 0)
@@ -85,7 +85,7 @@
     assert control.traffic.qsize() == before
 
 
-async def test_summary_rebuilds_the_directory(control):
+async def test_new_service_summary_rebuilds_the_endpoint_directory(control):
     control._refresh_directory(0.0)
     before = control.traffic.qsize()
     server = ServerState("catalogue", "127.0.0.1", 9, "x", 12)
--- a/tests/test_suspect_requests.py
+++ b/tests/test_suspect_requests.py
@@ -24,7 +24,7 @@
     return ControlService(settings, Environment(), asyncio.Queue())
 
 
-def test_suspects_of_one_node_reach_the_proxy_of_another(
+def test_quarantine_updates_reach_other_nodes(
     control: ControlService,
 ) -> None:
     own = control.membership.own
@@ -35,7 +35,7 @@
     assert learned == QuarantineLearned(REPORT)
 
 
-def test_suspects_are_relayed_once_and_never_synced(
+def test_quarantine_updates_are_relayed_once_and_not_synced(
     control: ControlService,
 ) -> None:
     table = UpdateTable()
@@ -47,7 +47,9 @@
     assert table.hash(only_global=False) == hash_before
 
 
-def test_number_of_relayed_suspects_is_bounded(control: ControlService) -> None:
+def test_number_of_relayed_quarantine_updates_is_bounded(
+    control: ControlService,
+) -> None:
     table = UpdateTable()
     for fingerprint in range(3000):
         report = QuarantineReport("s", [QuarantineUpdate(fingerprint, KEYS, 1)])
--- a/tests/test_traffic_retries.py
+++ b/tests/test_traffic_retries.py
@@ -126,7 +126,7 @@
     assert sum(server.counts.started for server in servers) == 3
     assert harmless[0] == 200
     assert reports[-1].service == "catalogue"
-    assert len(reports[-1].updates[0].deaths) == 2
+    assert len(reports[-1].updates[0].crashes) == 2
 
 
 async def test_a_peers_quarantine_report_applies_immediately(
