--- a/azurestep/http/__init__.py
+++ b/azurestep/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over the library's parser: serving callers, asking servers."""
+"""HTTP/1.1 server and client connections, based on httptools."""
--- a/azurestep/http/client.py
+++ b/azurestep/http/client.py
@@ -14,10 +14,9 @@
 FIRST_FINAL_STATUS = 200
 STATUSES_WITHOUT_BODY = frozenset({204, 304})
 REUSE_LIMIT_RATIO = 0.6
-"""New reuse limit as a ratio of the idle time at which a connection was found closed,
-since the actual limit of the other end is lower than that time."""
+"""Ratio of the new reuse limit to the idle time of a connection found closed."""
 MIN_REUSE_LIMIT_MS = 50.0
-"""Lower bound of the reuse limit, so that most requests still reuse a connection."""
+"""Lower bound of the reuse limit."""
 REUSE_LIMIT_RESET_S = 10.0
 """Time after which a reduced reuse limit is reset."""
 
--- a/azurestep/http/exchange.py
+++ b/azurestep/http/exchange.py
@@ -26,7 +26,7 @@
         """Continue to read from the caller."""
 
     def is_writable(self, exchange: "Exchange") -> bool:
-        """Whether an answer is first in line and the send buffer has room."""
+        """Whether an answer is first in line and the write buffer has room."""
 
     def closes_after(self, exchange: "Exchange") -> bool:
         """Whether the connection closes after the answer to a request."""
@@ -45,7 +45,7 @@
         """Handle that the caller closed the connection."""
 
     def on_writable(self) -> None:
-        """Handle that the send buffer has room again."""
+        """Handle that the write buffer has room again."""
 
     def on_fault(self) -> None:
         """Stop after an internal error in one of the methods above.
@@ -64,8 +64,12 @@
         Whether the caller keeps the connection open after the answer.
     received : bool
         Whether the complete request was read.
+    started, finished : bool
+        Whether the answer was begun, and whether it is complete.
     failed : bool
-        Whether an internal error occurred while it was handled.
+        Whether an internal error occurred while the request was handled.
+    parts : list of bytes
+        Bytes of the answer that the connection has yet to write.
     """
 
     connection: Connection
--- a/azurestep/http/server.py
+++ b/azurestep/http/server.py
@@ -15,6 +15,8 @@
 from .exchange import Exchange, Handler, Headers, answer_error
 
 MAX_READ_PAST_HEAD_BYTES = 65_536
+"""Allowed beyond the limit of heads while a head is read, since the read that
+completes it may contain the start of the body."""
 MAX_PIPELINED_REQUESTS = 64
 
 
@@ -29,8 +31,8 @@
     limits : Limits
         Size limits and timeouts of requests.
     on_fault : Callable
-        Called with an internal error, and whether only its request failed; otherwise
-        the connection is reset.
+        Called with an internal error and a flag: True if it affects one request, False
+        if the connection is reset.
     answer_fault : Handler
         Answers a request after an internal error.
     draining : bool
@@ -147,11 +149,11 @@
             self._reject(HTTPStatus.BAD_REQUEST)
 
     def pause_writing(self) -> None:
-        """Record that the send buffer is full."""
+        """Record that the write buffer is full."""
         self._paused_writing = True
 
     def resume_writing(self) -> None:
-        """Notify the first request that the send buffer has room again."""
+        """Notify the first request that the write buffer has room again."""
         self._paused_writing = False
         self._notify_writable()
 
@@ -273,7 +275,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether an answer is pending or the send buffer has unsent bytes.
+        """Whether an answer is pending or the write buffer has unsent bytes.
 
         Unsent bytes count because a process that exits discards them, which would
         truncate an answer to a slow caller.
@@ -284,7 +286,7 @@
         return transport is not None and transport.get_write_buffer_size() > 0
 
     def is_writable(self, exchange: Exchange) -> bool:
-        """Whether an answer is first in line and the send buffer has room."""
+        """Whether an answer is first in line and the write buffer has room."""
         first = bool(self.exchanges) and self.exchanges[0] is exchange
         return first and not self._paused_writing
 
--- a/azurestep/mesh/events.py
+++ b/azurestep/mesh/events.py
@@ -5,9 +5,9 @@
 from ..events import Event, register
 from .line_writer import LineWriter
 
-STARTED = register(9001, logging.INFO, "sidecar started")
-STOPPING = register(9002, logging.INFO, "sidecar shutting down")
-STOPPED = register(9003, logging.INFO, "sidecar stopped")
+STARTED = register(9001, logging.INFO, "node started")
+STOPPING = register(9002, logging.INFO, "node shutting down")
+STOPPED = register(9003, logging.INFO, "node stopped")
 RELOADED = register(9004, logging.INFO, "settings reloaded")
 SETTINGS_REJECTED = register(
     9005, logging.ERROR, "settings rejected, previous ones kept", "correct the file"
@@ -53,7 +53,7 @@
 RECORD_UNREADABLE = register(
     9105,
     logging.ERROR,
-    "unreadable records in the store ignored",
+    "malformed records in the store ignored",
     "find the writer of the records in that topic",
 )
 PEER_LOST = register(
@@ -93,7 +93,7 @@
 CRASH_SUSPECTED = register(
     9309,
     logging.WARNING,
-    "backend server died with requests in flight",
+    "backend server crashed with requests in flight",
     "check the requests that are refused as quarantined, if any",
 )
 BACKEND_LOAD = register(9310, logging.INFO, "backend server load in the last second")
@@ -110,16 +110,18 @@
     9404, logging.INFO, "caller disconnected before the answer"
 )
 CALL_RETRIED = register(9405, logging.INFO, "request retried at another backend server")
-RUN_REFUSED = register(9501, logging.INFO, "run refused by the backend server's node")
+RUN_REFUSED = register(
+    9501, logging.INFO, "request refused by the node beside the backend server"
+)
 RUN_FAILED = register(
     9502,
     logging.WARNING,
-    "run ended without a complete answer",
-    "check the backend server at that time; the reason tells how the run ended",
+    "request ended without a complete answer",
+    "check the backend server at that time; the reason tells how the request ended",
 )
 UNMATCHED_ANSWER = register(9503, logging.INFO, "answer to another request discarded")
 RUN_CANCELLED = register(
-    9504, logging.INFO, "run cancelled before its answer by the node that sent it"
+    9504, logging.INFO, "request cancelled by the sending node before the answer"
 )
 
 WRITER = LineWriter()
--- a/azurestep/mesh/incarnation.py
+++ b/azurestep/mesh/incarnation.py
@@ -18,7 +18,8 @@
     instance_id : bytes
         Id that the backend server announced; empty for none.
     started_ms : int
-        Start time in Unix milliseconds, or ``START_UNKNOWN``.
+        Start time in Unix milliseconds (``born`` in announcements), or
+        ``START_UNKNOWN``.
     """
 
     instance_id: bytes
--- a/azurestep/mesh/line_writer.py
+++ b/azurestep/mesh/line_writer.py
@@ -22,8 +22,8 @@
     "use the counters of the metrics endpoint for totals",
 )
 MAX_LINES_PER_SECOND = 300.0
-"""Rate limit in lines a second."""
 BURST_LINES = 600.0
+"""Size of the token bucket."""
 RESERVED_LINES = 300.0
 """Part of the burst that is reserved for lines that aren't routine."""
 BUFFER_LINES = 2000
--- a/azurestep/mesh/link_messages.py
+++ b/azurestep/mesh/link_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes besides requests and their outcomes."""
+"""Smaller messages: probes, body chunks, cancellation, flow control, configuration."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(slots=True)
 class Ping:
-    """Probes the other node; it carries the time at the sender."""
+    """Probes the other node; carries the sender's clock."""
 
     sent_ms: float
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen(slots=True)
 class Body:
-    """A chunk of a request's body; ``whole`` marks the last one."""
+    """A chunk of a request's body; ``whole`` is set if the body ends with it."""
 
     data: bytes
     whole: bool
@@ -27,7 +27,7 @@
 
 @attrs.frozen(slots=True)
 class Cancel:
-    """Cancels a request that nobody waits for."""
+    """Cancels a request whose answer is no longer needed."""
 
 
 @attrs.frozen(slots=True)
@@ -54,7 +54,7 @@
 
 @attrs.frozen(slots=True)
 class AnswerData:
-    """A chunk of an answer's body; ``whole`` marks the last one."""
+    """A chunk of an answer's body; ``whole`` is set if the body ends with it."""
 
     data: bytes
     whole: bool
@@ -75,7 +75,7 @@
 
 @attrs.frozen(slots=True)
 class CrashReport:
-    """Requests that were in flight when backend servers of a service died."""
+    """Requests that were in flight when backend servers of a service crashed."""
 
     service: str
     updates: list[QuarantineUpdate]
--- a/azurestep/mesh/messages.py
+++ b/azurestep/mesh/messages.py
@@ -16,9 +16,8 @@
 Headers = list[tuple[bytes, bytes]]
 PROTOCOL_VERSION = 2
 MAX_MESSAGE_BYTES = 96 * 1024 * 1024
-"""Size limit of a message."""
 COMPRESSION_LEVEL = 1
-"""Fastest level; higher ones save little more."""
+"""Fastest level of zlib."""
 
 
 class Kind(IntEnum):
@@ -45,7 +44,37 @@
 
 
 class Reason(IntEnum):
-    """Why a request was refused without having run, or failed."""
+    """Why a request was refused without having run, or failed.
+
+    Attributes
+    ----------
+    NO_BACKEND, LEAVING, OTHER_INSTANCE
+        Refused: there is no backend server of the service, it is leaving, or another
+        one has taken the place of the intended one.
+    UNREACHABLE, BACKEND_REFUSED
+        Refused: the backend server accepts no connections, or answered that it did not
+        run the request.
+    OVERLOADED, TOO_LATE
+        Refused: the backend server has no capacity for the request, or can't end it
+        before its deadline.
+    QUARANTINED
+        Refused: the request was in flight when backend servers crashed.
+    PRESSURE
+        Refused: shed by the node of the caller, since called services are overloaded.
+    STOPPING, LINK_LOST
+        Refused or failed: the node shuts down, or lost the connection to the other
+        node.
+    CLOSED, RESET
+        Failed: the connection was closed or reset before the answer.
+    MALFORMED, TRUNCATED, UNSIGNED
+        Failed: the answer can't be parsed, is incomplete or carries no signature.
+    TIMEOUT
+        Failed: the deadline passed while the request ran.
+    FAULT
+        Failed: internal error of a node.
+    BUDGET
+        Not used.
+    """
 
     NO_BACKEND = 1
     LEAVING = 2
@@ -75,7 +104,7 @@
     Attributes
     ----------
     protocol_version : int
-        Version of this protocol.
+        ``PROTOCOL_VERSION`` of the sender.
     peer_address : tuple
         Address at which the sender accepts links.
     started_ms : int
@@ -111,8 +140,10 @@
         Whether the platform's store answered the last call.
     failure_ratio : float
         Ratio of recent runs at the backend server that failed.
-    callers, refusals : tuple
-        Fields of ``pressure.PressureReport``.
+    callers : tuple
+        Services that call the backend server, each with the priority of its calls.
+    refusals : tuple
+        Service, priority, and ratio of a route's requests that the node refused.
     """
 
     service: str
@@ -141,11 +172,11 @@
     remaining_ms : float
         Time left until the caller's deadline or the route's timeout.
     objective_ms : float
-        Time left until the answer loses value; it may be negative.
+        Time left until the route's latency objective is missed; negative afterwards.
     whole : bool
-        Whether the body is complete with this message.
+        Whether the body ends with this message.
     length : int
-        Length of the body; -1 if it is not known yet.
+        Length of the body; -1 if unknown (chunked).
     server_started_ms : int
         Start of the intended backend server.
     mean_run_ms : float
@@ -189,7 +220,9 @@
     Attributes
     ----------
     length : int
-        Length of the body; -1 if unknown until ``whole`` is set.
+        Length of the body; -1 if unknown (chunked).
+    whole : bool
+        Whether the body ends with this message.
     in_flight : int
         Requests that run or wait at the backend server.
     mean_run_ms : float
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -1,4 +1,4 @@
-"""Assembly, main loop and reload of one node."""
+"""A node: construction, main loop and reload of its settings."""
 
 import asyncio
 import gc
@@ -40,21 +40,20 @@
 TICK_S = 0.1
 """Interval of the main loop."""
 STATE_BROADCAST_TICKS = 2
-"""Ticks between checks whether to report the load to peers."""
+"""Ticks between state broadcasts to peers."""
 EXPIRY_TICKS = 10
-"""Ticks between expirations of returning callers."""
+"""Ticks between removals of expired entries from the table of returning callers."""
 SETTINGS_CHECK_TICKS = 20
 """Ticks between checks for a changed settings file."""
 READY_AFTER_MS = 600.0
 """Time after the start at which a node counts as ready even without links."""
 MIN_SUBTRACTED_DELAY_MS = 30.0
-"""Tick delay above which it is subtracted from the response times of peers, whose
-answers may have been received but not yet read."""
+"""Event loop delay above which it is subtracted from the time that peers took to
+answer probes, which would otherwise include it."""
 STALL_LOG_MS = 300.0
-"""Tick delay above which a stalled event loop is logged."""
+"""Event loop delay above which it is logged as a stall."""
 GC_THRESHOLD = 20_000
-"""Allocations between garbage collections, which find little since requests leave no
-reference cycles."""
+"""Allocations between garbage collections of generation 0."""
 
 
 ProtocolFactory = Callable[[], asyncio.Protocol]
@@ -62,7 +61,7 @@
 
 @attrs.define(eq=False)
 class Node:
-    """A node with all its parts."""
+    """Connects the components of a node and runs its main loop."""
 
     settings: MeshSettings
     path: pathlib.Path
--- a/azurestep/mesh/runtime.py
+++ b/azurestep/mesh/runtime.py
@@ -1,4 +1,4 @@
-"""Services shared by all parts of a node, and handling of internal errors."""
+"""Event loop, clock and metrics that a node's components share; internal errors."""
 
 import asyncio
 import time
@@ -79,7 +79,11 @@
             self.report_fault(place, error)
 
     def fault_handler(self, place: str) -> Callable[[BaseException, bool], None]:
-        """Return a handler that reports internal errors of HTTP connections."""
+        """Return a handler that reports internal errors of HTTP connections.
+
+        Its second argument is whether the error affects one request only; otherwise
+        the connection is reset.
+        """
 
         def handle(error: BaseException, request_only: bool) -> None:
             event = events.FAULT if request_only else events.HANDLER_FAILED
@@ -90,7 +94,10 @@
     def on_loop_error(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]
     ) -> None:
-        """Report an uncaught error of the event loop, unless it is a network error."""
+        """Report an uncaught exception of the event loop.
+
+        Network errors and messages without an exception go to asyncio's handler.
+        """
         error = context.get("exception")
         if error is None or isinstance(error, OSError):
             loop.default_exception_handler(context)
--- a/azurestep/mesh/settings.py
+++ b/azurestep/mesh/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a node, read from the file rendered from ``deploy/settings.json``."""
+"""Settings of a node.
+
+The platform renders the file from the template ``deploy/settings.json``.
+"""
 
 import pathlib
 from typing import Any
@@ -33,7 +36,7 @@
 
 @attrs.frozen
 class Bounds:
-    """Time limits and the retry budget agreed on with the operators.
+    """Time limits and the retry budget.
 
     Attributes
     ----------
@@ -46,9 +49,9 @@
         Longest time until a configuration is in force at all nodes.
     retry_ratio, retry_extra, retry_window_ms : float
         Retry budget of a service over all nodes: a ratio of its requests plus a
-        fixed number in each window.
+        fixed number of retries in each window.
     stability_ms : float
-        Time without disturbance after which a node counts as stable.
+        Value of ``stability_window``, which the node does not use.
     """
 
     drain_ms: float = 2000.0
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -23,7 +23,7 @@
     callers : ServerState
         Connections of callers.
     stop_accepting : Callable
-        Stops accepting connections of callers.
+        Stops accepting connections of callers; open ones are kept.
     plan : ShutdownPlan or None
         Times of the steps; None until the shutdown begins.
     """
@@ -56,7 +56,7 @@
         if not self.outbound.closed:
             self.outbound.closed = True
             self.stop_accepting()
-            # Requests on just accepted connections are refused before the next call.
+            # Wait a tick, so that requests on newly accepted connections are answered.
             return False
         busy = (
             self.callers.busy
--- a/azurestep/platform/__init__.py
+++ b/azurestep/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the services that the platform gives."""
+"""Clients and data formats of the users' platform."""
--- a/azurestep/platform/announcement.py
+++ b/azurestep/platform/announcement.py
@@ -11,7 +11,7 @@
 
 PREFIX = "/v1/instances/"
 MAX_SLOTS = 100_000
-"""Larger numbers of slots are rejected as malformed."""
+"""Maximum number of requests that a backend server may announce to run at once."""
 MAX_INTEGER = 2**53
 """Largest integer that all JSON parsers represent exactly."""
 MAX_BODY_BYTES = 65_536
--- a/azurestep/platform/boot.py
+++ b/azurestep/platform/boot.py
@@ -1,4 +1,4 @@
-"""Start of a node by the platform."""
+"""Environment variable that the platform sets for a node."""
 
 SETTINGS_VARIABLE = "AZURESTEP_BOOT"
 """Environment variable with the path of the settings file."""
--- a/azurestep/platform/client.py
+++ b/azurestep/platform/client.py
@@ -1,4 +1,7 @@
-"""Client of the platform's append-only log."""
+"""Client of the platform's log (``/streams``).
+
+Used by ``azurestep.node`` and the commands; ``azurestep.mesh`` uses ``store``.
+"""
 
 import asyncio
 
@@ -17,6 +20,7 @@
 STATUS_REJECTED = frozenset({400, 404, 413})
 OK = 200
 BEYOND_END_OFFSET = 2**62
+"""Offset past the end of any stream; a read there returns the next offset alone."""
 
 
 class LogClient:
@@ -129,7 +133,7 @@
     async def append_attempt(
         self, stream: str, body: bytes
     ) -> Result[Receipt, AzurestepError]:
-        """Try once to append a record; a failure may hide a successful append."""
+        """Try once to append a record; after a failure it may have been appended."""
         timeout = aiohttp.ClientTimeout(total=APPEND_TIMEOUT_MS / 1000)
         try:
             async with self._session.post(
--- a/azurestep/platform/document.py
+++ b/azurestep/platform/document.py
@@ -18,7 +18,7 @@
 MAX_INTEGER = 2**53
 """Largest integer that all JSON parsers represent exactly."""
 SERVICE_CACHE_SIZE = 64
-"""Services for which routes without a split share one tuple."""
+"""Maximum number of cached single-service splits."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 PathPrefix = Annotated[str, msgspec.Meta(pattern=r"^/(?:.*/)?\Z")]
@@ -147,7 +147,7 @@
 
 @functools.lru_cache(maxsize=SERVICE_CACHE_SIZE)
 def _single_service(service: str) -> tuple[WeightedService, ...]:
-    """Return the only service of a route, cached as many routes share it."""
+    """Return the split of a route with one service."""
     return (WeightedService(service, 1.0),)
 
 
--- a/azurestep/platform/headers.py
+++ b/azurestep/platform/headers.py
@@ -31,7 +31,10 @@
         b"accept-encoding",
     }
 )
+"""Headers of one connection or replaced by the node, and ``Accept-Encoding``, so that
+answers aren't compressed."""
 MAX_REMAINING_MS = 600_000.0
+"""Longer deadlines are reduced to this."""
 
 
 @attrs.frozen(slots=True)
@@ -41,12 +44,12 @@
     Attributes
     ----------
     request_id : bytes
-        Id of this attempt of the caller; empty if missing.
+        Id of the caller's attempt, which retries of the node keep; empty if missing.
     remaining_ms : float or None
         How long the caller waits, counted from the arrival of the request.
     forwarded : Headers
-        Headers for the backend server, without hop-by-hop headers and those that
-        azurestep sets itself.
+        Headers for the backend server, without those of ``NOT_FORWARDED``, those that
+        ``Connection`` names and those that the node sets.
     """
 
     host: bytes
--- a/azurestep/platform/members.py
+++ b/azurestep/platform/members.py
@@ -54,7 +54,7 @@
     except (ValueError, RecursionError) as error:
         raise MessageMalformedError(
             f"the record of node {host[:80]!r} can't be read: {error}",
-            "Find its writer; the records of other nodes are used",
+            "Find and fix the process that writes this record",
         ) from error
     if fields.format != FORMAT:
         raise MessageMalformedError(
--- a/azurestep/platform/outcomes.py
+++ b/azurestep/platform/outcomes.py
@@ -13,7 +13,7 @@
 
 @attrs.frozen(slots=True)
 class KeyedRecord:
-    """The latest value of a key; empty if the key was deleted."""
+    """Latest record of a key, as ``read_latest`` returns it; empty if deleted."""
 
     key: str
     value: bytes
--- a/azurestep/platform/store.py
+++ b/azurestep/platform/store.py
@@ -1,7 +1,7 @@
-"""Client of the platform's store, a log with keyed topics.
+"""Client of the platform's store (``/v1/log-*``), which ``azurestep.mesh`` uses.
 
-Outcomes are typed values. A call without an answer may take effect, even later, so
-callers repeat only idempotent calls.
+The store is a log with keyed topics. Outcomes are typed values. A call that timed out
+may still take effect, so only idempotent calls are repeated.
 """
 
 import asyncio
@@ -315,7 +315,7 @@
 
 @attrs.frozen(slots=True)
 class KeyValue:
-    """Record of a keyed topic; an empty value deletes the key."""
+    """Decoded append to a keyed topic; an empty value deletes the key."""
 
     key: str
     value: bytes
--- a/azurestep/platform/units.py
+++ b/azurestep/platform/units.py
@@ -9,7 +9,6 @@
 DURATION_PATTERN = r"^([0-9]{1,12}(?:\.[0-9]{1,9})?)(ms|s)\Z"
 """A number followed by its unit."""
 DURATION_CACHE_SIZE = 256
-"""Cached durations; routes have few distinct ones."""
 
 _DURATION = re.compile(DURATION_PATTERN)
 
--- a/azurestep/quarantine/__init__.py
+++ b/azurestep/quarantine/__init__.py
@@ -1,6 +1,6 @@
 """Quarantine of requests that crash the backend servers that run them.
 
-Free of I/O and of heavy imports, as all kinds of nodes use it.
+Used by ``azurestep.balancing`` and ``azurestep.mesh``; does no I/O.
 """
 
 from .fingerprints import BODY_PREFIX_BYTES, fingerprint
--- a/azurestep/quarantine/suspects.py
+++ b/azurestep/quarantine/suspects.py
@@ -1,4 +1,4 @@
-"""Records of the quarantine and updates for other nodes."""
+"""Data model of the quarantine."""
 
 from enum import StrEnum
 
@@ -24,7 +24,7 @@
     fingerprint : int
         Fingerprint of the request.
     crashes : tuple of EndpointKey
-        Backend servers that died with it in flight.
+        Backend servers that crashed with it in flight.
     refused_for_ms : float
         Time left of the quarantine; 0 for a suspect.
     """
@@ -41,10 +41,10 @@
     Attributes
     ----------
     crashes : set of EndpointKey
-        Backend servers that died with it in flight.
+        Backend servers that crashed with it in flight.
     pending : dict
         Times at which connections were lost with it in flight, by backend server,
-        until that server is known to be dead or alive.
+        until that server is known to have crashed or to be alive.
     answers : int
         Number of answers since it was first suspected.
     in_flight : dict
--- a/azurestep/quarantine/table.py
+++ b/azurestep/quarantine/table.py
@@ -1,11 +1,12 @@
-"""Quarantine of requests that crash the backend servers that run them.
+"""Table of suspects and the rule that refuses them.
 
-A fingerprint whose request was in flight on a backend server that died is a
+A fingerprint whose request was in flight on a backend server that crashed is a
 suspect. It is refused if all of these hold:
 
 - it was in flight at the crashes of ``crashes_to_refuse`` distinct servers,
 - those crashes outnumber its answers, and
-- a coincidence is improbable at the recent rate of other crashes.
+- the estimated probability that the crashes are unrelated to it is at most
+  ``MAX_COINCIDENCE_PROBABILITY``.
 """
 
 from collections import OrderedDict, deque
@@ -17,11 +18,17 @@
 CRASHES_TO_REFUSE = 2
 TABLE_SIZE = 1024
 REFUSAL_MS = 600_000.0
+"""Duration of a quarantine."""
 SUSPECT_EXPIRY_MS = 300_000.0
+"""Time since the last lost connection or update after which a suspect expires."""
 UNCONFIRMED_LOSS_MS = 10_000.0
+"""Time after which a lost connection no longer counts as a possible crash."""
 CRASH_WINDOW_MS = 10_000.0
+"""Age up to which crashes without the suspect count for the probability."""
 MAX_COINCIDENCE_PROBABILITY = 0.01
+"""Probability of unrelated crashes above which a suspect isn't refused."""
 PRIOR_CRASHES = 0.1
+"""Added to the count of other crashes, so that the estimate is never zero."""
 MAX_RECORDED_CRASHES = 256
 
 
@@ -35,7 +42,7 @@
     size : int
         Maximum number of records; the least recently used one is evicted first.
     check_coincidence : bool
-        Whether the probability of a coincidence is considered.
+        Whether to refuse only if the crashes are unlikely to be unrelated.
     """
 
     def __init__(
@@ -76,7 +83,7 @@
     def servers_with_suspects(self, now_ms: float) -> tuple[EndpointKey, ...]:
         """Return the servers that run a suspect, which other suspects must avoid.
 
-        With two suspects on one server, its death could not be attributed.
+        With two suspects on one server, its crash could not be attributed.
         """
         return tuple(
             key
@@ -92,7 +99,7 @@
             suspect.in_flight[key] = suspect.in_flight.get(key, 0) + 1
 
     def record_answer(self, fingerprint: int, key: EndpointKey, now_ms: float) -> None:
-        """Record an answer to an attempt, which the server survived."""
+        """Record an answer, which shows that the request did not crash the server."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return
@@ -102,7 +109,7 @@
             self._drop(fingerprint)
 
     def record_end(self, fingerprint: int, key: EndpointKey) -> None:
-        """Record the end of an attempt without evidence for or against it."""
+        """Record the end of an attempt that was neither answered nor lost."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             self._count_end(suspect, key)
@@ -119,7 +126,7 @@
     def record_crash(
         self, key: EndpointKey, now_ms: float, servers: int
     ) -> list[QuarantineUpdate]:
-        """Record the confirmed death of a backend server.
+        """Record the confirmed crash of a backend server.
 
         Parameters
         ----------
@@ -128,7 +135,7 @@
         now_ms : float
             Current time.
         servers : int
-            Number of backend servers of the service, including dead ones.
+            Number of backend servers of the service, including crashed ones.
 
         Returns
         -------
@@ -250,6 +257,11 @@
         suspect.expiry_ms = max(suspect.expiry_ms, suspect.refused_until_ms)
 
     def _coincidence_probability(self, suspect: Suspect, now_ms: float) -> float:
+        """Estimate the probability that all crashes were unrelated to a suspect.
+
+        It is the share of servers that crashed without the suspect in the window, to
+        the power of the number of its crashes.
+        """
         window_start_ms = now_ms - CRASH_WINDOW_MS
         others = sum(
             at_ms >= window_start_ms and key not in suspect.crashes
--- a/azurestep/routing/model.py
+++ b/azurestep/routing/model.py
@@ -22,11 +22,11 @@
     timeout_ms : float
         Longest time until a caller gets an answer.
     objective_ms : float
-        Time within which an answer has its full value.
+        Latency objective; the timeout if not configured.
     priority : int
         Priority under overload; 0 is the highest.
     max_attempts : int
-        Largest number of backend servers that one attempt of a caller may reach.
+        Maximum number of backend servers that a request is sent to.
     """
 
     name: str
--- a/azurestep/routing/table.py
+++ b/azurestep/routing/table.py
@@ -7,7 +7,7 @@
 from .model import Document, Limits, Route, Service, WeightedService
 
 MAX_START_POSITION = 1000
-"""Bound of the random start position; ten rounds for weights in whole percents."""
+"""Upper bound of the random start position."""
 
 
 @attrs.define(slots=True)
@@ -33,10 +33,9 @@
     def with_random_start(
         cls, weighted_services: tuple[WeightedService, ...], random: Random
     ) -> "WeightedRoundRobin":
-        """Return a split that starts at a random position of its round.
+        """Return a split with a random start, so that nodes start with other services.
 
-        Otherwise all nodes would start with the largest weight, and with few requests
-        at each node the smaller services would get less than their share.
+        Otherwise services with small weights would get too few requests.
         """
         split = cls(weighted_services)
         for _ in range(random.randrange(MAX_START_POSITION)):
@@ -63,7 +62,7 @@
     Attributes
     ----------
     splits : dict
-        State of each route with several services; kept across versions.
+        Round-robin state by route name; kept when the configuration changes.
     """
 
     document: Document
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -25,9 +25,9 @@
         "mesh.links",
     },
 }
-"""Each package and those it may import; all share the modules of ``mesh`` itself."""
+"""Allowed imports of each package."""
 FORBIDDEN_IN_DECISIONS = {"asyncio", "socket", "uvloop", "time", "httptools", "os"}
-"""Modules that decisions must not import, as they are pure functions."""
+"""Modules that ``mesh.decisions`` must not import, since its functions are pure."""
 
 
 def imports_of(path: pathlib.Path) -> set[str]:
--- a/tests/test_mesh_routes.py
+++ b/tests/test_mesh_routes.py
@@ -92,7 +92,7 @@
     "version of another type": {"version": "7"},
     "version is a bool": {"version": True},
     "a route without a host": {"routes": {"r": {"path_prefix": "/", "service": "s"}}},
-    "services no table": {"services": []},
+    "services is not an object": {"services": []},
     "an unknown service": {"services": {"other": {}}},
     "limits of another type": {"limits": {"max_header_bytes": 1.5}},
 }
--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -1,4 +1,4 @@
-"""Outcomes of store calls, also after repeated and late appends."""
+"""Outcomes of store calls, including repeated and late appends."""
 
 import asyncio
 from collections.abc import AsyncIterator
--- a/tests/test_platform_checkpoints.py
+++ b/tests/test_platform_checkpoints.py
@@ -1,3 +1,5 @@
+"""Checkpoints are due after a number of records or an interval."""
+
 import asyncio
 
 import attrs
--- a/tests/test_platform_silent.py
+++ b/tests/test_platform_silent.py
@@ -1,3 +1,5 @@
+"""A connection that stops delivering bytes does not block reads."""
+
 import asyncio
 
 from azurestep.environment import Environment
@@ -8,6 +10,7 @@
 from standins.silent_proxy import Direction, Faults, SilentProxy
 
 PROPAGATION_LIMIT_MS = 17_000
+"""Propagation limit of the control plane."""
 
 
 async def test_unanswered_poll_times_out_and_the_next_read_reconnects(
--- a/tests/test_suspect_requests.py
+++ b/tests/test_suspect_requests.py
@@ -1,3 +1,5 @@
+"""Updates of the quarantine are relayed between nodes, once and in bounded number."""
+
 import asyncio
 
 import pytest
