--- a/azurestep/balancing/__init__.py
+++ b/azurestep/balancing/__init__.py
@@ -29,7 +29,7 @@
    ``AttemptOutcome.latency_ms`` is the time to the first byte of the answer.
 6. After a failure call ``finish``, then ``decide_retry``. For ``Retry`` call
    ``Admission.request`` again with the tried keys in ``avoid``. For ``ProbeFirst``
-   connect once to the same address, call the quarantine's ``record_death`` or
+   connect once to the same address, call the quarantine's ``record_crash`` or
    ``record_alive``, and call ``decide_retry`` again with ``server_crashed`` set.
    ``GiveUp.forbids_retry`` sets the ``Azurestep-Retried`` header of the answer;
    set ``retried_upstream`` if a backend server's answer has this header.
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -22,8 +22,8 @@
     ----------
     callers : ServerState
         Connections of callers.
-    close_callers : Callable
-        Stops accepting connections of callers.
+    stop_accepting : Callable
+        Stops accepting connections of callers; open ones are kept.
     plan : ShutdownPlan or None
         Times of the steps; None until the shutdown begins.
     """
@@ -34,7 +34,7 @@
     outbound: Outbound
     inbound: Inbound
     incoming_links: IncomingLinks
-    close_callers: Callable[[], None]
+    stop_accepting: Callable[[], None]
     plan: ShutdownPlan | None = None
 
     def begin(self, grace_ms: float) -> bool:
@@ -55,8 +55,8 @@
             return False
         if not self.outbound.closed:
             self.outbound.closed = True
-            self.close_callers()
-            # Requests on just accepted connections are refused before the next call.
+            self.stop_accepting()
+            # Wait a tick, so that requests on newly accepted connections are answered.
             return False
         busy = (
             self.callers.busy
--- a/azurestep/platform/store.py
+++ b/azurestep/platform/store.py
@@ -1,7 +1,7 @@
-"""Client of the platform's store, a log with keyed topics.
+"""Client of the platform's store (``/v1/log-*``), which ``azurestep.mesh`` uses.
 
-Outcomes are typed values. A call without an answer may take effect, even later, so
-callers repeat only idempotent calls.
+The store is a log with keyed topics. Outcomes are typed values. A call that timed out
+may still take effect, so only idempotent calls are repeated.
 """
 
 import asyncio
@@ -80,11 +80,11 @@
     has_more: bool = False
 
 
-_ITEM = msgspec.json.Decoder(_Item)
+_ITEM_DECODER = msgspec.json.Decoder(_Item)
 AnswerType = TypeVar("AnswerType")
 
 
-class Reply:
+class AnswerCollector:
     """Collects the answer to a call and resolves its future."""
 
     def __init__(self, future: "asyncio.Future[tuple[int, bytes]]") -> None:
@@ -255,7 +255,7 @@
             f"{method.decode()} {path} HTTP/1.1\r\nHost: {host}:{port}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
         )
-        connection.send(head.encode() + body, Reply(future), True)
+        connection.send(head.encode() + body, AnswerCollector(future), True)
         return await future
 
     def _append_outcome(self, status: int, content: bytes) -> AppendOutcome:
@@ -291,7 +291,7 @@
 def _decode_item(raw: msgspec.Raw) -> KeyedRecord | None:
     """Return a record of a page, or None if it is malformed."""
     try:
-        item = _ITEM.decode(raw)
+        item = _ITEM_DECODER.decode(raw)
         value = base64.b64decode(item.value or "", validate=True)
     except (msgspec.DecodeError, binascii.Error, RecursionError):
         return None
@@ -315,7 +315,7 @@
 
 @attrs.frozen(slots=True)
 class KeyValue:
-    """Record of a keyed topic; an empty value deletes the key."""
+    """Decoded append to a keyed topic; an empty value deletes the key."""
 
     key: str
     value: bytes
--- a/azurestep/routing/table.py
+++ b/azurestep/routing/table.py
@@ -6,8 +6,8 @@
 
 from .model import Document, Limits, Route, Service, WeightedService
 
-MAX_SKIPPED_REQUESTS = 1000
-"""Bound of the random start position; ten rounds for weights in whole percents."""
+MAX_START_POSITION = 1000
+"""Upper bound of the random start position."""
 
 
 @attrs.define(slots=True)
@@ -24,22 +24,21 @@
     """
 
     weighted_services: tuple[WeightedService, ...]
-    _credit: list[float] = attrs.field(init=False)
+    _current_weights: list[float] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._credit = [0.0] * len(self.weighted_services)
+        self._current_weights = [0.0] * len(self.weighted_services)
 
     @classmethod
     def with_random_start(
         cls, weighted_services: tuple[WeightedService, ...], random: Random
     ) -> "WeightedRoundRobin":
-        """Return a split that starts at a random position of its round.
+        """Return a split with a random start, so that nodes start with other services.
 
-        Otherwise all nodes would start with the largest weight, and with few requests
-        at each node the smaller services would get less than their share.
+        Otherwise services with small weights would get too few requests.
         """
         split = cls(weighted_services)
-        for _ in range(random.randrange(MAX_SKIPPED_REQUESTS)):
+        for _ in range(random.randrange(MAX_START_POSITION)):
             split.next_service()
         return split
 
@@ -48,11 +47,11 @@
         total = 0.0
         best = 0
         for index, part in enumerate(self.weighted_services):
-            self._credit[index] += part.weight
+            self._current_weights[index] += part.weight
             total += part.weight
-            if self._credit[index] > self._credit[best]:
+            if self._current_weights[index] > self._current_weights[best]:
                 best = index
-        self._credit[best] -= total
+        self._current_weights[best] -= total
         return self.weighted_services[best].service
 
 
@@ -63,7 +62,7 @@
     Attributes
     ----------
     splits : dict
-        State of each route with several services; kept across versions.
+        Round-robin state by route name; kept when the configuration changes.
     """
 
     document: Document
--- a/azurestep/traffic/pool.py
+++ b/azurestep/traffic/pool.py
@@ -124,7 +124,7 @@
         self._crashed[key] = None
         if len(self._crashed) > MAX_CRASHED_SERVERS:
             del self._crashed[next(iter(self._crashed))]
-        updates = self.quarantine.record_death(key, now_ms, len(self.endpoints))
+        updates = self.quarantine.record_crash(key, now_ms, len(self.endpoints))
         if updates:
             self._on_report(QuarantineReport(self._service.name, updates))
 
