--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -112,8 +112,8 @@
             run.refuse(reason)
             return
         self.admission.slots = self.backend.slots
-        if request.mean_run_ms:
-            self.admission.set_fleet_mean(request.route, request.mean_run_ms)
+        if request.fleet_mean_run_ms:
+            self.admission.set_fleet_mean(request.route, request.fleet_mean_run_ms)
         self.caller_detector.record_request(
             request.route, request.priority, request.calling_service
         )
--- a/azurestep/mesh/decisions/choice.py
+++ b/azurestep/mesh/decisions/choice.py
@@ -98,7 +98,7 @@
     ----------
     objective_ms : float
         Time left until the answer loses value.
-    mean_run_ms : float
+    fleet_mean_run_ms : float
         Run time of this route at backend servers that reported none.
     size_kib : float
         Bytes that would cross between data centres, in KiB.
@@ -109,7 +109,7 @@
     service: str
     route: str
     objective_ms: float
-    mean_run_ms: float
+    fleet_mean_run_ms: float
     size_kib: float
     data_centre: str
 
@@ -183,7 +183,7 @@
 def _expected_value(
     endpoint: Endpoint, criteria: SelectionCriteria, now_ms: float
 ) -> float:
-    run_ms = endpoint.mean_run_ms.get(criteria.route, criteria.mean_run_ms)
+    run_ms = endpoint.mean_run_ms.get(criteria.route, criteria.fleet_mean_run_ms)
     if now_ms < endpoint.cold_until_ms:
         run_ms *= COLD_RUN_FACTOR
     load = endpoint.load
--- a/azurestep/mesh/messages.py
+++ b/azurestep/mesh/messages.py
@@ -148,7 +148,7 @@
         Length of the body; -1 if it is not known yet.
     server_started_ms : int
         Start of the intended backend server.
-    mean_run_ms : float
+    fleet_mean_run_ms : float
         Mean run time of the route at the backend servers known to the sender; 0 if
         unknown.
     needs_confirmation : bool
@@ -173,7 +173,7 @@
     whole: bool
     body: bytes
     server_started_ms: int = START_UNKNOWN
-    mean_run_ms: float = 0.0
+    fleet_mean_run_ms: float = 0.0
     needs_confirmation: bool = False
 
     @property
