--- a/azurestep/mesh/backend/contained.py
+++ b/azurestep/mesh/backend/contained.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 
-class Faultable(Protocol):
+class HandlesFaults(Protocol):
     """A request that can end with an internal error."""
 
     def on_fault(self, error: Exception) -> None:
@@ -12,7 +12,7 @@
 
 
 def run_guarded(
-    request: Faultable, step: Callable[..., None], *arguments: object
+    request: HandlesFaults, step: Callable[..., None], *arguments: object
 ) -> None:
     """Run a step of a request; an error ends that request and reaches no other."""
     try:
--- a/azurestep/mesh/backend/crashes.py
+++ b/azurestep/mesh/backend/crashes.py
@@ -79,7 +79,7 @@
     count_servers: Callable[[str], int] = lambda service: 1
     _tables: dict[str, Quarantine] = attrs.field(factory=dict)
 
-    def record_lost(self, request: Request, now_ms: float) -> None:
+    def record_connection_loss(self, request: Request, now_ms: float) -> None:
         """Record that a connection ended before the answer to a request began."""
         if request.whole:
             table = self._tables.setdefault(request.service, Quarantine())
@@ -94,7 +94,7 @@
             key = self._key(request.incarnation)
             table.record_answer(fingerprint_of(request), key, now_ms)
 
-    def record_death(
+    def record_crash(
         self, service: str, incarnation: Incarnation, now_ms: float
     ) -> None:
         """Record that the local backend server died, and publish the updates."""
--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -22,7 +22,7 @@
 from .crashes import CrashTracker
 from .load import LoadSummary, tick_load
 from .run import AnswerReceiver, Run
-from .state import Backend
+from .state import LocalBackend
 from .transfers import BodyTransfer, BodyTransfers
 
 CONNECT_TIMEOUT_S = 1.0
@@ -50,7 +50,7 @@
 
     runtime: Runtime
     address: Address
-    backend: Backend
+    backend: LocalBackend
     on_change: Callable[[], None]
     crashes: CrashTracker
     admission: Admission = attrs.field(factory=Admission)
@@ -60,7 +60,7 @@
     health: Health = attrs.field(factory=Health)
     caller_detector: CallerDetector = attrs.field(factory=CallerDetector)
     unreachable: bool = False
-    stopping: bool = False
+    shutting_down: bool = False
     _runs: dict[Ticket, Run] = attrs.field(factory=dict)
     _next_reconnect_ms: float = 0.0
     _last_incarnation: Incarnation = NO_INCARNATION
@@ -73,7 +73,9 @@
     @property
     def open(self) -> bool:
         """Whether other nodes may choose the backend server."""
-        return self.backend.is_open() and not self.unreachable and not self.stopping
+        return (
+            self.backend.is_open() and not self.unreachable and not self.shutting_down
+        )
 
     @property
     def busy(self) -> bool:
@@ -83,11 +85,11 @@
     @property
     def late_reason(self) -> Reason:
         """Reason for the refusal of requests that can't end in time."""
-        return Reason.STOPPING if self.stopping else Reason.TOO_LATE
+        return Reason.STOPPING if self.shutting_down else Reason.TOO_LATE
 
-    def stop(self, drain_deadline_ms: float) -> None:
+    def begin_shutdown(self, drain_deadline_ms: float) -> None:
         """Serve only what can end by the deadline; other nodes choose other servers."""
-        self.stopping = True
+        self.shutting_down = True
         self.admission.drain_deadline_ms = drain_deadline_ms
         self._schedule_scan()
 
@@ -119,7 +121,7 @@
         )
         decision = self.admission.admit(run.ticket, self.now_ms())
         if isinstance(decision, Refused):
-            run.refuse(Reason.STOPPING if self.stopping else Reason.OVERLOADED)
+            run.refuse(Reason.STOPPING if self.shutting_down else Reason.OVERLOADED)
         elif decision:
             run.start()
 
@@ -165,7 +167,7 @@
         """
         self._scan_scheduled = False
         now_ms = self.now_ms()
-        self._refuse(self.admission.find_late(now_ms), self.late_reason)
+        self._refuse(self.admission.find_expiring(now_ms), self.late_reason)
         if not self.backend.admits(now_ms):
             self._refuse(self.admission.waiting, Reason.LEAVING)
         for waiting in self.transfers.waiting:
@@ -197,7 +199,7 @@
         except OSError as error:
             self._set_unreachable(True, type(error).__name__)
             backend = self.backend
-            self.crashes.record_death(
+            self.crashes.record_crash(
                 backend.service, backend.incarnation, self.now_ms()
             )
             return None
@@ -219,7 +221,7 @@
             expected=request.instance_id,
             found=instance_id,
         )
-        self.backend.mark_gone(request.incarnation)
+        self.backend.mark_ended(request.incarnation)
         self.backend.confirm_instance(instance_id, self.now_ms())
         self.on_change()
 
@@ -239,7 +241,7 @@
         connection attempt shows whether it is alive. If it is, no request is blamed.
         """
         self._next_reconnect_ms = 0.0
-        self.crashes.record_lost(request, self.now_ms())
+        self.crashes.record_connection_loss(request, self.now_ms())
         if len(self._runs) == 1:
             self.runtime.spawn(self._reconnect())
         if connection.used > 1 and self.now_ms() - sent_ms < IDLE_CLOSE_WINDOW_MS:
@@ -254,7 +256,7 @@
             trusted_ms=round(self.idle.reuse_limit_ms),
         )
 
-    def changed(self) -> None:
+    def apply_announcement(self) -> None:
         """Apply a new announcement of the backend server."""
         self.unreachable = False
         self.on_change()
@@ -286,7 +288,7 @@
         if not incarnation.matches(self._last_incarnation):
             self.health.clear()
             self.idle.reset_reuse_limit()
-            self.admission.forget()
+            self.admission.clear_run_times()
         self._last_incarnation = incarnation
         self.health.tick()
 
--- a/azurestep/mesh/backend/interfaces.py
+++ b/azurestep/mesh/backend/interfaces.py
@@ -8,7 +8,7 @@
 from ..runtime import Runtime
 from .crashes import CrashTracker
 from .load import LoadSummary
-from .state import Backend
+from .state import LocalBackend
 from .transfers import BodyTransfer, BodyTransfers
 
 
@@ -38,13 +38,13 @@
     """The shared state of all runs at the local backend server."""
 
     runtime: Runtime
-    backend: Backend
+    backend: LocalBackend
     admission: Admission
     idle: IdlePool
     transfers: BodyTransfers
     crashes: CrashTracker
     load: LoadSummary
-    stopping: bool
+    shutting_down: bool
 
     @property
     def late_reason(self) -> Reason:
--- a/azurestep/mesh/backend/load.py
+++ b/azurestep/mesh/backend/load.py
@@ -4,7 +4,7 @@
 
 from .. import events
 from ..decisions.admission import Admission
-from .state import Backend
+from .state import LocalBackend
 
 TICKS_PER_LINE = 10
 """Ticks of 0.1 s that one log line covers."""
@@ -62,7 +62,9 @@
         )
 
 
-def tick_load(load: LoadSummary, admission: Admission, backend: Backend) -> LoadSummary:
+def tick_load(
+    load: LoadSummary, admission: Admission, backend: LocalBackend
+) -> LoadSummary:
     """Add a sample of the queue; log a full summary and return the next one."""
     running = len(admission.running)
     if not load.tick(running, admission.in_flight - running):
--- a/azurestep/mesh/backend/probing.py
+++ b/azurestep/mesh/backend/probing.py
@@ -140,7 +140,7 @@
         backend = self.inbound.backend
         slots = found.slots or DEFAULT_SLOTS
         if backend.discover(found.instance_id, self.service, slots):
-            self.inbound.changed()
+            self.inbound.apply_announcement()
             return
         backend.confirm_instance(found.instance_id, self.runtime.now_ms())
         self.inbound.on_change()
--- a/azurestep/mesh/backend/run.py
+++ b/azurestep/mesh/backend/run.py
@@ -29,7 +29,7 @@
 
 The backend server stops by itself at the deadline.
 """
-MAX_TRANSIT_MS = 100.0
+MAX_DEADLINE_SKEW_MS = 100.0
 """Longest transit time by which a caller's deadline may precede the one known here."""
 CONFIRMATION_TIMEOUT_MS = 400.0
 """Longest time that a request holds a slot without confirmation.
@@ -42,7 +42,7 @@
 Enough for the largest body on a link of 10 Mbit/s; longer, unresponsive senders would
 block the transfers of others.
 """
-FIRST_FAILURE_STATUS = 300
+FIRST_NON_SUCCESS_STATUS = 300
 BAD_REQUEST = 400
 SERVER_ERROR = 500
 GATEWAY_TIMEOUT = 504
@@ -69,12 +69,12 @@
         )
         self.done = False
         self._connection: ClientConnection | None = None
-        self._early_body: list[bytes] = []
+        self._buffered_body: list[bytes] = []
         self._whole = request.whole
         self._partial = PartialAnswer()
         self._streaming = False
-        self._unacknowledged_bytes = 0
-        self._uncredited_bytes = 0
+        self._answer_bytes_in_transit = 0
+        self._pending_credit_bytes = 0
         self._sent_ms = 0.0
         self._needs_confirmation = request.needs_confirmation
         self._confirmation_asked_ms = 0.0
@@ -83,13 +83,13 @@
 
     # Called by the sender of the request.
 
-    def body(self, data: bytes, whole: bool) -> None:
+    def add_body(self, data: bytes, whole: bool) -> None:
         """Handle more of the request's body."""
         if self.done:
             return
         self._whole = whole
         if self._connection is None:
-            self._early_body.append(data)
+            self._buffered_body.append(data)
             if whole and self._awaits_body:
                 self._awaits_body = False
                 self.inbound.end_transfer(self)
@@ -135,16 +135,16 @@
         failure of the backend server.
         """
         if self.may_have_run:
-            overdue = self.inbound.now_ms() >= self.deadline_ms - MAX_TRANSIT_MS
-            self.fail(Reason.TIMEOUT, blame=overdue)
+            overdue = self.inbound.now_ms() >= self.deadline_ms - MAX_DEADLINE_SKEW_MS
+            self.fail(Reason.TIMEOUT, counts_as_failure=overdue)
         else:
             self.refuse(Reason.TOO_LATE)
 
-    def grant(self, size: int) -> None:
+    def add_credit(self, size: int) -> None:
         """Handle that the receiver consumed bytes of the answer."""
-        self._unacknowledged_bytes -= size
+        self._answer_bytes_in_transit -= size
         if (
-            self._unacknowledged_bytes < FLOW_WINDOW_BYTES
+            self._answer_bytes_in_transit < FLOW_WINDOW_BYTES
             and self._connection is not None
         ):
             self._connection.resume_reading()
@@ -184,7 +184,7 @@
         in_time = inbound.admission.can_end_in_time(self.ticket, inbound.now_ms())
         if self._could_end_in_time is None:
             self._could_end_in_time = in_time
-        return not in_time and (self._could_end_in_time or inbound.stopping)
+        return not in_time and (self._could_end_in_time or inbound.shutting_down)
 
     def _request_confirmation(self) -> None:
         self._awaits_body = not self._whole
@@ -222,20 +222,24 @@
     def _send(self, connection: ClientConnection) -> None:
         self._connection = connection
         self._sent_ms = self.inbound.now_ms()
-        content = b"".join([self.request.body, *self._early_body])
+        content = b"".join([self.request.body, *self._buffered_body])
         remaining_ms = (
             self.inbound.admission.run_deadline_ms(self.ticket) - self._sent_ms
         )
         data = encode_request(self.request, content, self._whole, remaining_ms)
         connection.send(data, self, self._whole)
-        self._send_credit(sum(len(part) for part in self._early_body))
-        self._early_body = []
+        self._send_credit(sum(len(part) for part in self._buffered_body))
+        self._buffered_body = []
 
     def _send_credit(self, size: int) -> None:
-        self._uncredited_bytes += size
+        self._pending_credit_bytes += size
         connection = self._connection
-        if self._uncredited_bytes and connection is not None and connection.writable:
-            size, self._uncredited_bytes = self._uncredited_bytes, 0
+        if (
+            self._pending_credit_bytes
+            and connection is not None
+            and connection.writable
+        ):
+            size, self._pending_credit_bytes = self._pending_credit_bytes, 0
             self.receiver.on_credit(size)
 
     # Called by the connection to the backend server.
@@ -258,13 +262,13 @@
         if parts.size_bytes > MAX_BUFFERED_BYTES and parts.is_authentic:
             self._streaming = True
             body = parts.pop_body()
-            self._unacknowledged_bytes = len(body)
+            self._answer_bytes_in_transit = len(body)
             self.receiver.on_answer(self._answer(body, whole=False))
 
     def _forward(self, data: bytes, whole: bool) -> None:
-        self._unacknowledged_bytes += len(data)
+        self._answer_bytes_in_transit += len(data)
         if (
-            self._unacknowledged_bytes > FLOW_WINDOW_BYTES
+            self._answer_bytes_in_transit > FLOW_WINDOW_BYTES
             and self._connection is not None
         ):
             self._connection.pause_reading()
@@ -282,9 +286,9 @@
             self._finish_run()
             self.receiver.on_answer_data(b"", True)
             return
-        self._classify_answer(fields)
+        self._report_answer(fields)
 
-    def _classify_answer(self, fields: AnswerFields | None) -> None:
+    def _report_answer(self, fields: AnswerFields | None) -> None:
         inbound, parts = self.inbound, self._partial
         if fields is None:
             self.fail(Reason.MALFORMED)
@@ -296,7 +300,7 @@
         elif fields.not_run and parts.status != BAD_REQUEST:
             inbound.record_run(failed=True)
             self.refuse(Reason.BACKEND_REFUSED, reached_backend=True)
-        elif parts.is_authentic or parts.status >= FIRST_FAILURE_STATUS:
+        elif parts.is_authentic or parts.status >= FIRST_NON_SUCCESS_STATUS:
             self._finish_run()
             self.receiver.on_answer(self._answer(parts.pop_body(), whole=True))
         else:
@@ -323,8 +327,8 @@
         inbound = self.inbound
         inbound.load.answered += 1
         run_ms = inbound.now_ms() - self._sent_ms
-        if self._partial.status < FIRST_FAILURE_STATUS:
-            inbound.admission.learn(self.request.route, run_ms)
+        if self._partial.status < FIRST_NON_SUCCESS_STATUS:
+            inbound.admission.record_run(self.request.route, run_ms)
             inbound.backend.confirm_instance(
                 self.request.instance_id.decode("latin-1"), inbound.now_ms()
             )
@@ -343,12 +347,14 @@
             return
         if self.done:
             return
-        kinds = {"closed": Reason.CLOSED, "reset": Reason.RESET}
-        kind = kinds.get(reason, Reason.MALFORMED)
+        reasons = {"closed": Reason.CLOSED, "reset": Reason.RESET}
+        failure_reason = reasons.get(reason, Reason.MALFORMED)
         connection = self._connection
         if self._partial.fields is None and connection is not None:
             self.inbound.record_connection_loss(self.request, connection, self._sent_ms)
-        self.fail(Reason.TRUNCATED if self._partial.fields is not None else kind)
+        self.fail(
+            Reason.TRUNCATED if self._partial.fields is not None else failure_reason
+        )
 
     def enforce_timeouts(self, now_ms: float) -> None:
         """End a request whose confirmation, body or answer is overdue."""
@@ -401,12 +407,15 @@
         self.inbound.load.refused += 1
         self.inbound.runtime.metrics.count("refused_here", reason.name)
 
-    def fail(self, reason: Reason, blame: bool = True) -> None:
-        """Report that the request may have run; ``blame`` counts against the server."""
+    def fail(self, reason: Reason, counts_as_failure: bool = True) -> None:
+        """Report that the request may have run.
+
+        ``counts_as_failure`` counts against the server.
+        """
         if self.done:
             return
         self._run_guarded(self._record_slow_run)
-        if blame:
+        if counts_as_failure:
             self._run_guarded(self.inbound.record_run, True)
         self._finish()
         self._run_guarded(self._log_failed, reason)
@@ -445,7 +454,7 @@
         admission, route = self.inbound.admission, self.request.route
         run_ms = self.inbound.now_ms() - self._sent_ms
         if self._sent_ms and run_ms > admission.mean_run_ms(route):
-            admission.learn(route, run_ms)
+            admission.record_run(route, run_ms)
 
     def _finish(self) -> None:
         """Release the transfer, the slot and the connection.
--- a/azurestep/mesh/backend/state.py
+++ b/azurestep/mesh/backend/state.py
@@ -61,7 +61,7 @@
 
 
 @attrs.define(slots=True)
-class Backend:
+class LocalBackend:
     """The local backend server as it announced itself.
 
     Attributes
@@ -92,29 +92,29 @@
             return NO_INCARNATION
         record = self._records.get(self.instance_id)
         started_ms = record.started_ms if record is not None else None
-        name = self.instance_id.encode("latin-1", "replace")
-        return Incarnation(name, started_ms or START_UNKNOWN)
+        instance_id = self.instance_id.encode("latin-1", "replace")
+        return Incarnation(instance_id, started_ms or START_UNKNOWN)
 
     def apply_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> None:
         """Apply a heartbeat; an outdated one can only announce leaving."""
-        name = heartbeat.instance_id
-        record = self._find_record(name, heartbeat.started_ms)
+        instance_id = heartbeat.instance_id
+        record = self._find_record(instance_id, heartbeat.started_ms)
         if record is None:
             return
         if heartbeat.leaving:
-            self._record_leaving(name, record, now_ms)
+            self._record_leaving(instance_id, record, now_ms)
         newest = record.heartbeat
         if newest is not None and heartbeat.sequence <= newest.sequence:
             return
         if record.ended:
             return
         record.heartbeat = heartbeat
-        if name == self.instance_id:
+        if instance_id == self.instance_id:
             self._adopt(heartbeat, now_ms)
         elif not self.instance_id:
             self._switch_to(heartbeat, now_ms)
         elif not heartbeat.leaving:
-            self.conflicting_id = name
+            self.conflicting_id = instance_id
 
     def apply_leaving(self, notice: LeavingNotice, now_ms: float) -> None:
         """Apply a leaving notice."""
@@ -138,10 +138,10 @@
             Whether it receives the requests now.
         """
         record = self._records.get(instance_id)
-        gone = record is not None and (
+        unavailable = record is not None and (
             record.ended or record.leaving_since_ms is not None
         )
-        if self.instance_id or gone:
+        if self.instance_id or unavailable:
             return False
         self.instance_id = instance_id
         self.service = service
@@ -157,23 +157,23 @@
             self.conflicting_id = ""
             return
         if self.instance_id:
-            self._mark_ended(self.instance_id)
+            self._end_record(self.instance_id)
         self.instance_id = ""
         self.conflicting_id = ""
         if record is not None and record.heartbeat is not None:
             self._switch_to(record.heartbeat, now_ms)
 
-    def mark_gone(self, incarnation: Incarnation) -> None:
+    def mark_ended(self, incarnation: Incarnation) -> None:
         """Record that an incarnation doesn't run at the address any more.
 
         A later one under the same id is not affected.
         """
-        name = incarnation.instance_id.decode("latin-1")
-        record = self._records.get(name)
+        instance_id = incarnation.instance_id.decode("latin-1")
+        record = self._records.get(instance_id)
         if record is not None and record.is_newer_than(incarnation.started_ms or None):
             return
-        self._mark_ended(name)
-        if name == self.instance_id:
+        self._end_record(instance_id)
+        if instance_id == self.instance_id:
             self.instance_id = ""
 
     def is_leaving(self) -> bool:
@@ -204,34 +204,34 @@
         return max(0.0, self._cold_until_ms - now_ms)
 
     def _find_record(
-        self, name: str, started_ms: int | None
+        self, instance_id: str, started_ms: int | None
     ) -> IncarnationRecord | None:
         """Return the record of an incarnation; None if a newer one is known.
 
         A later start gets a new record: its heartbeats are numbered from one again, and
         an earlier leaving doesn't apply to it.
         """
-        record = self._records.get(name)
+        record = self._records.get(instance_id)
         if record is None or record.is_superseded_by(started_ms):
-            record = self._records[name] = IncarnationRecord(started_ms)
+            record = self._records[instance_id] = IncarnationRecord(started_ms)
         if record.is_newer_than(started_ms):
             return None
         if record.started_ms is None:
             record.started_ms = started_ms
         return record
 
-    def _mark_ended(self, name: str) -> None:
-        self._records.setdefault(name, IncarnationRecord(None)).ended = True
+    def _end_record(self, instance_id: str) -> None:
+        self._records.setdefault(instance_id, IncarnationRecord(None)).ended = True
 
     def _leaving_since_ms(self) -> float | None:
         record = self._records.get(self.instance_id)
         return None if record is None else record.leaving_since_ms
 
     def _record_leaving(
-        self, name: str, record: IncarnationRecord, now_ms: float
+        self, instance_id: str, record: IncarnationRecord, now_ms: float
     ) -> None:
         if record.leaving_since_ms is None:
-            known = name == self.instance_id or record.heartbeat is not None
+            known = instance_id == self.instance_id or record.heartbeat is not None
             record.leaving_since_ms = now_ms if known else LEAVING_SINCE_UNKNOWN_MS
 
     def _switch_to(self, heartbeat: Heartbeat, now_ms: float) -> None:
--- a/azurestep/mesh/backend/transfers.py
+++ b/azurestep/mesh/backend/transfers.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from .contained import Faultable
+from .contained import HandlesFaults
 
 MAX_CONCURRENT_TRANSFERS = 2
 """Limit of concurrent transfers.
@@ -14,7 +14,7 @@
 """
 
 
-class BodyTransfer(Faultable, Protocol):
+class BodyTransfer(HandlesFaults, Protocol):
     """A request whose body is sent on demand."""
 
     def request_body(self) -> None:
--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -17,7 +17,7 @@
 from .outgoing import RequestBuilder
 from .own_answers import NO_BACKEND_RETRY_AFTER_MS
 from .placement import EndpointSelector
-from .record import FIRST_FAILURE_STATUS, CallRecord
+from .record import FIRST_NON_SUCCESS_STATUS, CallRecord
 
 MAX_NODES_TRIED = 4
 """Nodes that one request is sent to at most, before it is refused."""
@@ -140,7 +140,7 @@
             return
         if self._body.record_sent(data):
             self.exchange.connection.pause_reading()
-        self._stream.body(data, whole)
+        self._stream.add_body(data, whole)
 
     # Events of the node beside the backend server.
 
@@ -155,7 +155,7 @@
         if self._stream is None or endpoint is None:
             return
         if self._request_builder.defers_body(endpoint):
-            self._stream.body(self._body.content(), True)
+            self._stream.add_body(self._body.content(), True)
 
     def on_unresponsive(self, confirmed: bool) -> None:
         """Retry elsewhere, if that is safe and another backend server is available."""
@@ -292,7 +292,7 @@
         self.record.record_times(answer)
         if endpoint is not None:
             endpoint.mean_run_ms[self.route.name] = answer.mean_run_ms
-            self.context.mean_run_times.learn(self.route.name, answer.mean_run_ms)
+            self.context.mean_run_times.record_run(self.route.name, answer.mean_run_ms)
         if self._is_retriable_error(answer) and not self._body.streamed:
             self.record.runs += 1
             self._unconfirmed_runs += 1
@@ -346,9 +346,9 @@
 
     def _send_answer(self, answer: Answer) -> None:
         self._cancel_earlier_run()
-        if answer.status < FIRST_FAILURE_STATUS:
+        if answer.status < FIRST_NON_SUCCESS_STATUS:
             size_bytes = max(answer.length, len(answer.body))
-            self.context.answer_sizes.learn(self.route.name, size_bytes)
+            self.context.answer_sizes.record_size(self.route.name, size_bytes)
         if answer.whole:
             self._close(cancel=False)
             self._outcome.report_answered(answer.status)
@@ -363,7 +363,7 @@
             return
         credit = self._writer.take_credit()
         if credit:
-            self._stream.grant(credit)
+            self._stream.add_credit(credit)
 
     # Completion.
 
@@ -376,7 +376,7 @@
             return False
         if self.record.nodes_tried >= MAX_NODES_TRIED:
             return False
-        return self.context.retry_budget.spend(self.service, now_ms)
+        return self.context.retry_budget.try_spend(self.service, now_ms)
 
     def _refuse_without_endpoint(self) -> None:
         refusal = self._refusal
--- a/azurestep/mesh/callers/context.py
+++ b/azurestep/mesh/callers/context.py
@@ -67,7 +67,7 @@
         if caller.remaining_ms is None:
             return Attempt(request_key, now_ms, now_ms)
         deadline_ms = now_ms + caller.remaining_ms
-        first_attempt_ms = self.returning_callers.first_attempt_ms(
+        first_attempt_ms = self.returning_callers.pop_first_attempt_ms(
             request_key, now_ms, deadline_ms
         )
         return Attempt(
--- a/azurestep/mesh/callers/ending.py
+++ b/azurestep/mesh/callers/ending.py
@@ -7,7 +7,7 @@
 from .answer_writer import AnswerWriter
 from .context import CallContext
 from .own_answers import BAD_GATEWAY, answer_refused, request_id_header
-from .record import FIRST_FAILURE_STATUS, CallRecord
+from .record import FIRST_NON_SUCCESS_STATUS, CallRecord
 
 CAPACITY_REASONS = frozenset({Reason.OVERLOADED, Reason.TOO_LATE})
 """Refusals for lack of capacity, which are reported to peers."""
@@ -32,9 +32,9 @@
         now_ms = runtime.now_ms()
         runtime.metrics.call_ms.record(now_ms - record.arrived_ms)
         runtime.metrics.count(
-            "calls", "good" if status < FIRST_FAILURE_STATUS else "error"
+            "calls", "good" if status < FIRST_NON_SUCCESS_STATUS else "error"
         )
-        if status >= FIRST_FAILURE_STATUS:
+        if status >= FIRST_NON_SUCCESS_STATUS:
             self.context.returning_callers.add(record.attempt)
         record.log_answered(status, now_ms)
 
--- a/azurestep/mesh/callers/record.py
+++ b/azurestep/mesh/callers/record.py
@@ -7,7 +7,7 @@
 from ..decisions.returning import Attempt
 from ..messages import Answer, Reason
 
-FIRST_FAILURE_STATUS = 300
+FIRST_NON_SUCCESS_STATUS = 300
 
 
 @attrs.define(slots=True, eq=False)
@@ -48,7 +48,7 @@
 
     def log_answered(self, status: int, now_ms: float) -> None:
         """Log that a backend server's answer was passed on."""
-        in_time = status < FIRST_FAILURE_STATUS and self.objective_ms(now_ms) >= 0
+        in_time = status < FIRST_NON_SUCCESS_STATUS and self.objective_ms(now_ms) >= 0
         log = events.log_routine if in_time else events.log
         log(events.CALL_ENDED, **self._fields(status, "", now_ms))
 
--- a/azurestep/mesh/decisions/admission.py
+++ b/azurestep/mesh/decisions/admission.py
@@ -90,7 +90,7 @@
         """Set a route's mean run time over all backend servers."""
         self._fleet_mean_run_ms[route] = mean_run_ms
 
-    def learn(self, route: str, run_ms: float) -> None:
+    def record_run(self, route: str, run_ms: float) -> None:
         """Add the run time of one request to its route's mean."""
         known = self._mean_run_ms.get(route)
         if known is None:
@@ -98,7 +98,7 @@
         else:
             self._mean_run_ms[route] = known + RUN_MEAN_WEIGHT * (run_ms - known)
 
-    def forget(self) -> None:
+    def clear_run_times(self) -> None:
         """Clear the run times, which belong to an earlier incarnation."""
         self._mean_run_ms.clear()
 
@@ -140,7 +140,7 @@
         self.running.add(chosen)
         return chosen
 
-    def find_late(self, now_ms: float) -> list[Ticket]:
+    def find_expiring(self, now_ms: float) -> list[Ticket]:
         """Return the waiting requests that can't end in time.
 
         During a shutdown the work ahead of a request counts too, so that another node
@@ -150,14 +150,14 @@
             return [
                 one for one in self._waiting if not self.can_end_in_time(one, now_ms)
             ]
-        late: list[Ticket] = []
+        expiring: list[Ticket] = []
         start_ms = now_ms + self._estimate_wait_ms(0.0)
         for ticket in sorted(self._waiting, key=lambda one: self._rank(one, now_ms)):
             if self.can_end_in_time(ticket, start_ms):
                 start_ms += self.mean_run_ms(ticket.route) / self.slots
             else:
-                late.append(ticket)
-        return late
+                expiring.append(ticket)
+        return expiring
 
     def run_deadline_ms(self, ticket: Ticket) -> float:
         """Return when a run must end: its deadline or that of the shutdown."""
@@ -190,5 +190,7 @@
         then the earlier objective. Calls of backend servers have the shortest ones: a
         call that fails wastes the run that made it.
         """
-        late = now_ms + self.mean_run_ms(ticket.route) > ticket.objective_deadline_ms
-        return late, ticket.priority, ticket.objective_deadline_ms
+        misses_objective = (
+            now_ms + self.mean_run_ms(ticket.route) > ticket.objective_deadline_ms
+        )
+        return misses_objective, ticket.priority, ticket.objective_deadline_ms
--- a/azurestep/mesh/decisions/cadence.py
+++ b/azurestep/mesh/decisions/cadence.py
@@ -47,7 +47,7 @@
     _last_report: bytes = b""
     _last_report_ms: float = float("-inf")
 
-    def is_due(self, report: bytes, links: int, now_ms: float) -> bool:
+    def mark_sent_if_due(self, report: bytes, links: int, now_ms: float) -> bool:
         """Whether a report has changed and may be sent; it then counts as sent."""
         if report == self._last_report:
             return False
--- a/azurestep/mesh/decisions/choice.py
+++ b/azurestep/mesh/decisions/choice.py
@@ -126,7 +126,7 @@
     >>> mean_run_times = MeanRunTimes()
     >>> mean_run_times.get("read")
     150.0
-    >>> mean_run_times.learn("read", 400.0)
+    >>> mean_run_times.record_run("read", 400.0)
     >>> mean_run_times.get("read")
     400.0
     """
@@ -141,7 +141,7 @@
         """Return the mean of a route, or 0 before the first answer."""
         return self._mean_ms.get(route, 0.0)
 
-    def learn(self, route: str, run_ms: float) -> None:
+    def record_run(self, route: str, run_ms: float) -> None:
         """Add the run time that was reported with an answer."""
         known = self._mean_ms.get(route, run_ms)
         self._mean_ms[route] = known + RUN_MEAN_WEIGHT * (run_ms - known)
--- a/azurestep/mesh/decisions/pressure.py
+++ b/azurestep/mesh/decisions/pressure.py
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self._origins: dict[str, dict[bytes, int]] = {}
-        self._callers: dict[str, CallingService] = {}
+        self._calling_services: dict[str, CallingService] = {}
 
     def record_request(self, route: str, priority: int, calling_service: bytes) -> None:
         """Count a request that arrived."""
@@ -53,16 +53,16 @@
             return
         name, most = max(origins.items(), key=lambda item: item[1])
         if most >= total * MIN_CALLER_RATIO:
-            self._callers[route] = (name.decode("latin-1"), priority)
+            self._calling_services[route] = (name.decode("latin-1"), priority)
         else:
-            self._callers.pop(route, None)
+            self._calling_services.pop(route, None)
         if total >= MAX_ROUTE_REQUESTS:
             halves = {name: count // 2 for name, count in origins.items()}
             self._origins[route] = {k: count for k, count in halves.items() if count}
 
-    def callers(self) -> tuple[CallingService, ...]:
+    def calling_services(self) -> tuple[CallingService, ...]:
         """Return the calling services, each with the priority of its calls."""
-        return tuple(sorted(set(self._callers.values())))
+        return tuple(sorted(set(self._calling_services.values())))
 
 
 @attrs.define(slots=True)
@@ -125,7 +125,7 @@
     """Service of one node, the services that call it, and what the node refuses."""
 
     service: str
-    callers: tuple[CallingService, ...]
+    calling_services: tuple[CallingService, ...]
     refusals: tuple[RefusalRatio, ...]
 
 
@@ -158,12 +158,12 @@
                 means[key] = means.get(key, 0.0) + ratio / len(known)
         self._ratios = {}
         if means:
-            for service, caller, call_priority in set(_list_callers(known)):
+            for service, caller, call_priority in set(_list_calling_services(known)):
                 ratio = max(
                     (
-                        m
-                        for (s, p), m in means.items()
-                        if s == service and p <= call_priority
+                        mean
+                        for (called, called_priority), mean in means.items()
+                        if called == service and called_priority <= call_priority
                     ),
                     default=0.0,
                 )
@@ -171,14 +171,18 @@
 
     def shed_ratio(self, service: str, priority: int) -> float:
         """Return the ratio of a service's requests of a priority to refuse."""
-        edges = self._ratios.get(service)
-        if not edges:
+        call_ratios = self._ratios.get(service)
+        if not call_ratios:
             return 0.0
-        ratios = (ratio for call_priority, ratio in edges if priority > call_priority)
+        ratios = (
+            ratio for call_priority, ratio in call_ratios if priority > call_priority
+        )
         return min(MAX_SHED_RATIO, max(ratios, default=0.0))
 
 
-def _list_callers(reports: list[PressureReport]) -> Iterator[tuple[str, str, int]]:
+def _list_calling_services(
+    reports: list[PressureReport],
+) -> Iterator[tuple[str, str, int]]:
     for report in reports:
-        for caller, priority in report.callers:
+        for caller, priority in report.calling_services:
             yield report.service, caller, priority
--- a/azurestep/mesh/decisions/retry_budget.py
+++ b/azurestep/mesh/decisions/retry_budget.py
@@ -32,7 +32,7 @@
     Examples
     --------
     >>> budget = RetryBudget(ratio=0.2, extra=8, window_ms=10_000, members=2)
-    >>> [budget.spend("a", 0.0) for _ in range(3)]
+    >>> [budget.try_spend("a", 0.0) for _ in range(3)]
     [True, True, False]
     """
 
@@ -49,7 +49,7 @@
         tokens = self._tokens.get(service, max_tokens)
         self._tokens[service] = min(max_tokens, tokens + self.ratio * USED_RETRY_RATIO)
 
-    def spend(self, service: str, now_ms: float) -> bool:
+    def try_spend(self, service: str, now_ms: float) -> bool:
         """Whether a retry is allowed now; it then spends a token."""
         max_tokens = self._max_tokens()
         since_ms = now_ms - self._refilled_ms.get(service, now_ms)
--- a/azurestep/mesh/decisions/returning.py
+++ b/azurestep/mesh/decisions/returning.py
@@ -49,9 +49,9 @@
     >>> returning = ReturningCallers()
     >>> request_key = (b"GET", b"shop.example", b"/read/1")
     >>> returning.add(Attempt(request_key, 0.0, 1200.0))
-    >>> returning.first_attempt_ms(request_key, 100.0, 1203.0)
+    >>> returning.pop_first_attempt_ms(request_key, 100.0, 1203.0)
     0.0
-    >>> returning.first_attempt_ms(request_key, 100.0, 1300.0)
+    >>> returning.pop_first_attempt_ms(request_key, 100.0, 1300.0)
     100.0
     """
 
@@ -64,7 +64,7 @@
             self._attempts.setdefault(attempt.request_key, []).append(attempt)
             self._count += 1
 
-    def first_attempt_ms(
+    def pop_first_attempt_ms(
         self, request_key: tuple[bytes, ...], now_ms: float, deadline_ms: float
     ) -> float:
         """Return when the caller of an attempt that arrives now first asked."""
--- a/azurestep/mesh/decisions/sizes.py
+++ b/azurestep/mesh/decisions/sizes.py
@@ -19,7 +19,7 @@
     Examples
     --------
     >>> sizes = AnswerSizes()
-    >>> sizes.learn("download", 102_400)
+    >>> sizes.record_size("download", 102_400)
     >>> sizes.mean_kib("download"), sizes.mean_kib("read")
     (100.0, 1.5)
     """
@@ -30,7 +30,7 @@
         """Return the mean of a route, or a default before its first answer."""
         return self._mean_kib.get(route, INITIAL_SIZE_KIB)
 
-    def learn(self, route: str, size_bytes: int) -> None:
+    def record_size(self, route: str, size_bytes: int) -> None:
         """Add the size of a complete answer."""
         size_kib = size_bytes / 1024
         known = self._mean_kib.get(route, size_kib)
--- a/azurestep/mesh/endpoints.py
+++ b/azurestep/mesh/endpoints.py
@@ -6,7 +6,7 @@
 from ..http.server import Exchange, Handler
 from ..platform.announcement import Heartbeat, LeavingNotice, read_announcement
 from . import events
-from .backend.state import Backend
+from .backend.state import LocalBackend
 from .runtime import Runtime
 
 JSON = [(b"Content-Type", b"application/json")]
@@ -33,7 +33,7 @@
 
 
 def announcements(
-    backend: Backend,
+    backend: LocalBackend,
     runtime: Runtime,
     is_service: Callable[[str], bool],
     on_change: Callable[[], None],
@@ -42,7 +42,7 @@
 
     Parameters
     ----------
-    backend : Backend
+    backend : LocalBackend
         State of the local backend server.
     runtime : Runtime
         Source of the time.
@@ -76,7 +76,7 @@
 
 def _check_service(
     notice: Heartbeat | LeavingNotice,
-    backend: Backend,
+    backend: LocalBackend,
     is_service: Callable[[str], bool],
 ) -> None:
     """Reject a heartbeat for a service that the configuration doesn't name.
@@ -95,7 +95,7 @@
         )
 
 
-def _log_change(backend: Backend) -> None:
+def _log_change(backend: LocalBackend) -> None:
     leaving = backend.is_leaving()
     event = events.BACKEND_LEAVING if leaving else events.BACKEND_ANNOUNCED
     events.log(
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -74,7 +74,7 @@
     confirmed: bool
     request_id: bytes = b""
 
-    def body(self, data: bytes, whole: bool) -> None:
+    def add_body(self, data: bytes, whole: bool) -> None:
         """Send more of the body."""
         self.connection.send(Kind.BODY, self.stream_id, data, whole)
 
@@ -93,7 +93,7 @@
         """Cancel the request; the peer replies whether it may have run."""
         self.connection.send(Kind.WITHDRAW, self.stream_id)
 
-    def grant(self, size: int) -> None:
+    def add_credit(self, size: int) -> None:
         """Allow the peer to send more of the answer."""
         self.connection.send(Kind.CREDIT, self.stream_id, size)
 
--- a/azurestep/mesh/links/incoming.py
+++ b/azurestep/mesh/links/incoming.py
@@ -98,9 +98,9 @@
             return
         local = {link for link in self.links if self._is_local(link)}
         remote = self.links - local
-        if self._local_pacer.is_due(data, len(local), now_ms):
+        if self._local_pacer.mark_sent_if_due(data, len(local), now_ms):
             self._write(local, data)
-        if self._remote_pacer.is_due(data, len(remote), now_ms):
+        if self._remote_pacer.mark_sent_if_due(data, len(remote), now_ms):
             self._write(remote, data)
 
     def push_configuration(self) -> None:
@@ -282,12 +282,12 @@
     def _on_credit(self, stream_id: int, credit: Credit) -> None:
         run = self._runs.get(stream_id)
         if run is not None:
-            run.grant(credit.size)
+            run.add_credit(credit.size)
 
     def _on_body(self, stream_id: int, body: Body) -> None:
         run = self._runs.get(stream_id)
         if run is not None:
-            run.body(body.data, body.whole)
+            run.add_body(body.data, body.whole)
 
     def _update_delay_ms(self, sent_ms: float) -> float:
         delay_ms = self.incoming_links.runtime.now_ms() - sent_ms
--- a/azurestep/mesh/links/interfaces.py
+++ b/azurestep/mesh/links/interfaces.py
@@ -10,7 +10,7 @@
 class Stream(Protocol):
     """The sender's handle of one request."""
 
-    def body(self, data: bytes, whole: bool) -> None:
+    def add_body(self, data: bytes, whole: bool) -> None:
         """Send more of the body."""
 
     @property
@@ -23,7 +23,7 @@
     def withdraw(self) -> None:
         """Cancel the request; its receiver gets a refusal if it has not run."""
 
-    def grant(self, size: int) -> None:
+    def add_credit(self, size: int) -> None:
         """Allow so many more bytes of the answer."""
 
     def replace_receiver(self, receiver: "CallReceiver") -> None:
--- a/azurestep/mesh/node.py
+++ b/azurestep/mesh/node.py
@@ -21,7 +21,7 @@
 from .backend.crashes import CrashTracker
 from .backend.inbound import Inbound
 from .backend.probing import Prober
-from .backend.state import Backend
+from .backend.state import LocalBackend
 from .callers.context import CallContext
 from .callers.outbound import Outbound
 from .callers.own_answers import answer_bad_gateway
@@ -67,7 +67,7 @@
     settings: MeshSettings
     path: pathlib.Path
     runtime: Runtime
-    backend: Backend = attrs.field(init=False)
+    backend: LocalBackend = attrs.field(init=False)
     crashes: CrashTracker = attrs.field(init=False)
     inbound: Inbound = attrs.field(init=False)
     members: Members = attrs.field(init=False)
@@ -93,7 +93,7 @@
         settings, runtime = self.settings, self.runtime
         bounds = settings.bounds
         self.started_ms = runtime.now_ms()
-        self.backend = Backend(bounds.drain_ms)
+        self.backend = LocalBackend(bounds.drain_ms)
         self.crashes = CrashTracker(
             settings.peer_address[0], self._report_crashes, self._count_servers
         )
@@ -293,7 +293,7 @@
             self.configuration_watcher.store_reachable,
             self.is_stopping,
             self.inbound.health.failure_ratio,
-            self.inbound.caller_detector.callers(),
+            self.inbound.caller_detector.calling_services(),
             self.calls.refusals.report(),
         )
 
@@ -321,7 +321,7 @@
         return len(self.members.endpoints(service))
 
     def _on_announcement(self) -> None:
-        self.inbound.changed()
+        self.inbound.apply_announcement()
         self.prober.check()
 
     def _on_peer_change(self) -> None:
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -44,7 +44,7 @@
         self.plan = ShutdownPlan(self.runtime.now_ms(), grace_ms)
         self.callers.draining = True
         self.outbound.context.limit_deadline(self.plan.drain_deadline_ms)
-        self.inbound.stop(self.plan.drain_deadline_ms)
+        self.inbound.begin_shutdown(self.plan.drain_deadline_ms)
         self._log(events.STOPPING)
         return True
 
@@ -68,7 +68,7 @@
         for connection in list(self.callers.connections):
             self.runtime.run_guarded("stop", connection.close_if_idle)
         # Refuse requests that arrive now, since the exit would abort them.
-        self.inbound.stop(now_ms)
+        self.inbound.begin_shutdown(now_ms)
         return True
 
     def finish(self) -> None:
--- a/tests/broken_node.py
+++ b/tests/broken_node.py
@@ -12,7 +12,7 @@
 from azurestep.core import main
 from azurestep.http.server import Exchange
 from azurestep.mesh import node as run
-from azurestep.mesh.backend.state import Backend
+from azurestep.mesh.backend.state import LocalBackend
 from azurestep.mesh.callers import call
 from azurestep.mesh.callers.answer_writer import AnswerWriter
 from azurestep.mesh.callers.outbound import Outbound
@@ -56,8 +56,8 @@
 
 def ignore_leaving() -> None:
     """Send requests to a backend server that leaves."""
-    Backend.is_leaving = lambda self: False  # type: ignore[method-assign]
-    Backend.admits = lambda self, now_ms: bool(self.instance_id)  # type: ignore[method-assign]
+    LocalBackend.is_leaving = lambda self: False  # type: ignore[method-assign]
+    LocalBackend.admits = lambda self, now_ms: bool(self.instance_id)  # type: ignore[method-assign]
 
 
 def keep_first_version() -> None:
--- a/tests/fixtures_inbound.py
+++ b/tests/fixtures_inbound.py
@@ -11,7 +11,7 @@
 from azurestep.mesh.backend.crashes import CrashTracker
 from azurestep.mesh.backend.inbound import Inbound
 from azurestep.mesh.backend.run import Run
-from azurestep.mesh.backend.state import Backend
+from azurestep.mesh.backend.state import LocalBackend
 from azurestep.mesh.messages import Answer, Failure, Reason, Refusal, Request
 from azurestep.mesh.runtime import Runtime
 from azurestep.platform.announcement import Heartbeat
@@ -191,7 +191,7 @@
 def make_beside(slots: int = 4, runtime: type[ManualRuntime] = ManualRuntime) -> Beside:
     """Return a backend server that has just announced itself."""
     loop = ManualLoop()
-    backend = Backend(DRAIN_MS)
+    backend = LocalBackend(DRAIN_MS)
     backend.apply_heartbeat(attrs.evolve(BEAT, slots=slots), 0.0)
     inbound = ManualInbound(
         runtime(loop),  # type: ignore[arg-type]
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -159,7 +159,7 @@
 ) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 0.6
-        instance.node.inbound.admission.learn("read", 300.0)
+        instance.node.inbound.admission.record_run("read", 300.0)
 
     names = [f"e{index}" for index in range(30)]
     answers = await asyncio.gather(
--- a/tests/test_mesh_admission.py
+++ b/tests/test_mesh_admission.py
@@ -27,7 +27,7 @@
 
 def remove_late(admission: Admission, now_ms: float) -> list[Ticket]:
     """Remove the late requests and return them."""
-    late = admission.find_late(now_ms)
+    late = admission.find_expiring(now_ms)
     for one in late:
         admission.remove(one)
     return late
@@ -40,7 +40,7 @@
 
 def test_a_request_waits_for_a_slot_that_comes_in_time() -> None:
     admission = Admission(slots=1)
-    admission.learn("read", 100.0)
+    admission.record_run("read", 100.0)
     first, second = ticket(), ticket()
     admission.admit(first, 0.0)
     assert admission.admit(second, 0.0) is False
@@ -49,7 +49,7 @@
 
 def test_a_request_that_can_not_meet_its_objective_is_refused_at_once() -> None:
     admission = Admission(slots=1)
-    admission.learn("read", 150.0)
+    admission.record_run("read", 150.0)
     decisions = [admission.admit(ticket(), 0.0) for _ in range(6)]
     assert isinstance(decisions[-1], Refused)
     assert decisions[-1].retry_after_ms > 0
@@ -57,7 +57,7 @@
 
 def test_the_most_urgent_priority_goes_first() -> None:
     admission = Admission(slots=1)
-    admission.learn("read", 50.0)
+    admission.record_run("read", 50.0)
     running = ticket()
     admission.admit(running, 0.0)
     bulk = ticket(priority=3)
@@ -69,7 +69,7 @@
 
 def test_a_request_that_can_meet_its_objective_goes_before_a_late_one() -> None:
     admission = Admission(slots=1)
-    admission.learn("read", 50.0)
+    admission.record_run("read", 50.0)
     running = ticket()
     admission.admit(running, 0.0)
     late = ticket(priority=0, objective_ms=60.0)
@@ -81,7 +81,7 @@
 
 def test_the_earliest_objective_goes_first_within_a_priority() -> None:
     admission = Admission(slots=1)
-    admission.learn("read", 20.0)
+    admission.record_run("read", 20.0)
     running = ticket()
     admission.admit(running, 0.0)
     payment = ticket(priority=1, objective_ms=500.0)
@@ -93,7 +93,7 @@
 
 def test_a_waiting_request_that_can_not_end_in_time_is_late() -> None:
     admission = Admission(slots=1)
-    admission.learn("read", 100.0)
+    admission.record_run("read", 100.0)
     admission.admit(ticket(), 0.0)
     waiting = ticket()
     admission.admit(waiting, 0.0)
@@ -142,7 +142,7 @@
         now_ms += random.expovariate(1 / gap_ms)
         while ends and ends[0][0] <= now_ms:
             end_ms, _, done = heapq.heappop(ends)
-            admission.learn(done.route, run_ms[done.priority])
+            admission.record_run(done.route, run_ms[done.priority])
             for started in end_request(admission, done, end_ms):
                 served[started.priority] += 1
                 end = end_ms + run_ms[started.priority]
@@ -177,7 +177,7 @@
     """
     random = Random(5)
     admission = Admission(slots=8)
-    admission.learn("read", 60.0)
+    admission.record_run("read", 60.0)
     delays_ms: list[float] = []
     ends: list[tuple[float, int, Ticket]] = []
     now_ms = 0.0
@@ -208,7 +208,7 @@
 
 def test_no_request_starts_that_would_outlast_the_shutdown() -> None:
     admission = Admission(slots=2)
-    admission.learn("read", 500.0)
+    admission.record_run("read", 500.0)
     admission.drain_deadline_ms = 1000.0
     assert admission.admit(ticket(objective_ms=9000.0), 400.0) is True
     refused = admission.admit(ticket(arrived_ms=600.0, objective_ms=9000.0), 600.0)
@@ -217,23 +217,23 @@
 
 def test_requests_that_would_start_too_late_for_the_shutdown_are_late() -> None:
     admission = Admission(slots=1)
-    admission.learn("read", 500.0)
+    admission.record_run("read", 500.0)
     first, second, third = (ticket(objective_ms=9000.0) for _ in range(3))
     for one in (first, second, third):
         one.deadline_ms = 9000.0
         admission.admit(one, 0.0)
-    assert admission.find_late(0.0) == []
+    assert admission.find_expiring(0.0) == []
     admission.drain_deadline_ms = 1200.0
-    assert admission.find_late(0.0) == [third]
+    assert admission.find_expiring(0.0) == [third]
 
 
 def test_requests_that_leave_the_queue_do_not_delay_the_others() -> None:
     admission = Admission(slots=1)
-    admission.learn("read", 500.0)
+    admission.record_run("read", 500.0)
     first, urgent, patient = (ticket(priority, 0.0, 9000.0) for priority in (1, 0, 2))
     for one in (first, urgent, patient):
         one.deadline_ms = 9000.0
         admission.admit(one, 0.0)
     urgent.deadline_ms = 900.0
     admission.drain_deadline_ms = 1200.0
-    assert admission.find_late(0.0) == [urgent]
+    assert admission.find_expiring(0.0) == [urgent]
--- a/tests/test_mesh_backend.py
+++ b/tests/test_mesh_backend.py
@@ -4,7 +4,7 @@
 import pytest
 
 from azurestep.errors import MessageMalformedError
-from azurestep.mesh.backend.state import DRAIN_ADMIT_RATIO, Backend
+from azurestep.mesh.backend.state import DRAIN_ADMIT_RATIO, LocalBackend
 from azurestep.platform.announcement import Heartbeat, LeavingNotice, read_announcement
 
 DRAIN_MS = 2000.0
@@ -12,19 +12,19 @@
 
 
 @pytest.fixture
-def backend() -> Backend:
-    backend = Backend(DRAIN_MS)
+def backend() -> LocalBackend:
+    backend = LocalBackend(DRAIN_MS)
     backend.apply_heartbeat(BEAT, 0.0)
     return backend
 
 
-def test_the_first_heartbeat_opens_the_server(backend: Backend) -> None:
+def test_the_first_heartbeat_opens_the_server(backend: LocalBackend) -> None:
     assert backend.is_open()
     assert backend.admits(0.0)
 
 
 def test_a_leaving_server_closes_at_once_and_admits_requests_for_part_of_the_drain(
-    backend: Backend,
+    backend: LocalBackend,
 ) -> None:
     backend.apply_heartbeat(attrs.evolve(BEAT, sequence=2, leaving=True), 100.0)
     assert not backend.is_open()
@@ -33,14 +33,16 @@
 
 
 def test_a_leaving_notice_closes_the_server(
-    backend: Backend,
+    backend: LocalBackend,
 ) -> None:
     backend.apply_leaving(LeavingNotice("i-1"), 50.0)
     assert not backend.is_open()
     assert not backend.admits(50.0 + DRAIN_MS)
 
 
-def test_a_late_heartbeat_does_not_reopen_a_leaving_server(backend: Backend) -> None:
+def test_a_late_heartbeat_does_not_reopen_a_leaving_server(
+    backend: LocalBackend,
+) -> None:
     backend.apply_heartbeat(attrs.evolve(BEAT, sequence=5, leaving=True), 100.0)
     backend.apply_heartbeat(attrs.evolve(BEAT, sequence=4), 200.0)
     backend.apply_heartbeat(attrs.evolve(BEAT, sequence=6), 300.0)
@@ -48,7 +50,7 @@
 
 
 def test_a_heartbeat_of_another_incarnation_only_marks_a_conflict(
-    backend: Backend,
+    backend: LocalBackend,
 ) -> None:
     backend.confirm_instance("i-1", 0.0)
     backend.apply_heartbeat(attrs.evolve(BEAT, instance_id="i-0", sequence=9), 10.0)
@@ -56,7 +58,9 @@
     assert backend.conflicting_id == "i-0"
 
 
-def test_an_answer_of_a_new_incarnation_replaces_the_old_one(backend: Backend) -> None:
+def test_an_answer_of_a_new_incarnation_replaces_the_old_one(
+    backend: LocalBackend,
+) -> None:
     backend.apply_heartbeat(attrs.evolve(BEAT, instance_id="i-2"), 10.0)
     backend.confirm_instance("i-2", 20.0)
     assert backend.instance_id == "i-2"
@@ -66,7 +70,7 @@
 
 
 def test_an_answer_of_an_unknown_incarnation_closes_until_its_heartbeat(
-    backend: Backend,
+    backend: LocalBackend,
 ) -> None:
     backend.confirm_instance("i-3", 20.0)
     assert not backend.admits(20.0)
--- a/tests/test_mesh_bodies.py
+++ b/tests/test_mesh_bodies.py
@@ -29,7 +29,7 @@
         1
     ] * MAX_CONCURRENT_TRANSFERS + [0]
     uploads[0][0].proceed()
-    uploads[0][0].body(BODY, True)
+    uploads[0][0].add_body(BODY, True)
     beside.loop.run_due()
     assert uploads[0][0].may_have_run
     assert [listener.asked for _, listener in uploads] == [1] * (
@@ -38,7 +38,7 @@
 
 
 def test_upload_waiting_for_its_turn_is_refused_once_late(beside: Beside) -> None:
-    beside.inbound.admission.learn("read", 200.0)
+    beside.inbound.admission.record_run("read", 200.0)
     for _ in range(MAX_CONCURRENT_TRANSFERS):
         upload(beside)
     _, waiting = upload(beside, budget_ms=450.0)
@@ -58,13 +58,13 @@
         beside.after(100.0)
     assert other.asked == 1
     run, _ = silent[0]
-    run.body(BODY, True)
+    run.add_body(BODY, True)
     beside.loop.run_due()
     assert run.may_have_run, "a late body must still run"
 
 
 def test_request_whose_body_never_arrived_has_not_run(beside: Beside) -> None:
-    beside.inbound.admission.learn("read", 200.0)
+    beside.inbound.admission.record_run("read", 200.0)
     run, silent = upload(beside)
     run.proceed()
     for _ in range(10):
@@ -79,11 +79,11 @@
 def test_waiting_upload_is_refused_at_shutdown(
     beside: Beside,
 ) -> None:
-    beside.inbound.admission.learn("read", 3000.0)
+    beside.inbound.admission.record_run("read", 3000.0)
     for _ in range(MAX_CONCURRENT_TRANSFERS):
         upload(beside, budget_ms=LONG_REMAINING_MS)
     _, waiting = upload(beside, budget_ms=LONG_REMAINING_MS)
-    beside.inbound.stop(beside.loop.now_ms + 2000.0)
+    beside.inbound.begin_shutdown(beside.loop.now_ms + 2000.0)
     beside.loop.run_due()
     assert waiting.outcomes == ["STOPPING"]
 
@@ -91,13 +91,13 @@
 def test_request_whose_body_arrives_too_late_is_not_run() -> None:
     for budget_ms, reason in ((800.0, "TOO_LATE"), (LONG_REMAINING_MS, "STOPPING")):
         beside = make_beside()
-        beside.inbound.admission.learn("read", 500.0)
+        beside.inbound.admission.record_run("read", 500.0)
         run, listener = upload(beside, budget_ms)
         run.proceed()
         if reason == "STOPPING":
-            beside.inbound.stop(beside.loop.now_ms + 600.0)
+            beside.inbound.begin_shutdown(beside.loop.now_ms + 600.0)
         beside.after(400.0)
-        run.body(BODY, True)
+        run.add_body(BODY, True)
         beside.loop.run_due()
         assert not run.may_have_run
         assert listener.outcomes == [reason]
@@ -105,10 +105,10 @@
 
 
 def test_request_confirmed_too_late_is_not_run(beside: Beside) -> None:
-    beside.inbound.admission.learn("read", 500.0)
+    beside.inbound.admission.record_run("read", 500.0)
     listener = Listener()
     run = beside.submit(listener, LONG_REMAINING_MS, needs_confirmation=True)
-    beside.inbound.stop(beside.loop.now_ms + 600.0)
+    beside.inbound.begin_shutdown(beside.loop.now_ms + 600.0)
     beside.loop.now_ms += 350.0
     run.proceed()
     beside.loop.run_due()
@@ -119,7 +119,7 @@
 def test_confirmed_request_gets_a_free_slot_though_its_route_is_slow(
     beside: Beside,
 ) -> None:
-    beside.inbound.admission.learn("read", 5000.0)
+    beside.inbound.admission.record_run("read", 5000.0)
     run = beside.submit(Listener(), needs_confirmation=True)
     beside.loop.now_ms += 3.0
     run.proceed()
@@ -134,7 +134,7 @@
     monkeypatch.setattr(
         ClientConnection, "send", lambda self, data, sink, whole: sent.append(data)
     )
-    beside.inbound.stop(beside.loop.now_ms + 900.0)
+    beside.inbound.begin_shutdown(beside.loop.now_ms + 900.0)
     beside.submit(Listener(), LONG_REMAINING_MS)
     beside.loop.run_due()
     assert b"\r\nDeadline-Milliseconds: 900\r\n" in sent[0]
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -36,7 +36,7 @@
     pacer = ReportPacer(per_s=40.0)
     seconds = 100
     sent = sum(
-        pacer.is_due(str(tick).encode(), links, tick * 100.0)
+        pacer.mark_sent_if_due(str(tick).encode(), links, tick * 100.0)
         for tick in range(seconds * 10)
     )
     assert (sent - 1) * links <= 40.0 * seconds
@@ -45,10 +45,10 @@
 
 def test_an_unchanged_report_is_not_sent() -> None:
     pacer = ReportPacer(per_s=40.0)
-    assert pacer.is_due(b"a", 2, 0.0)
-    assert not pacer.is_due(b"a", 2, 10_000.0)
-    assert not pacer.is_due(b"b", 2, 100.0)
-    assert pacer.is_due(b"b", 2, 500.0)
+    assert pacer.mark_sent_if_due(b"a", 2, 0.0)
+    assert not pacer.mark_sent_if_due(b"a", 2, 10_000.0)
+    assert not pacer.mark_sent_if_due(b"b", 2, 100.0)
+    assert pacer.mark_sent_if_due(b"b", 2, 500.0)
 
 
 @pytest.mark.parametrize("data", [b"", b"no zlib", compress(b"x" * 100)[:-3]])
--- a/tests/test_mesh_choice.py
+++ b/tests/test_mesh_choice.py
@@ -119,8 +119,8 @@
 def test_a_long_answer_stays_local_where_a_read_goes_remote(random: Random) -> None:
     sizes = AnswerSizes()
     for _ in range(30):
-        sizes.learn("download", 90_000)
-        sizes.learn("read", 1_500)
+        sizes.record_size("download", 90_000)
+        sizes.record_size("read", 1_500)
     near, far = endpoint("near", in_flight=7), endpoint("far", "dc-2")
     assert pick([near, far], random, sizes.mean_kib("download")) == "near"
     assert pick([near, far], random, sizes.mean_kib("read")) == "far"
--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -169,7 +169,7 @@
 
 
 ANSWER_STEPS = [
-    (Run, "_classify_answer", of_run),
+    (Run, "_report_answer", of_run),
     (Run, "_finish_run", of_run),
     (OutcomeForwarder, "on_answer", of_stream),
 ]
--- a/tests/test_mesh_containment_callers.py
+++ b/tests/test_mesh_containment_callers.py
@@ -13,7 +13,7 @@
 from azurestep.mesh.backend.inbound import Inbound
 from azurestep.mesh.backend.probing import Prober
 from azurestep.mesh.backend.run import Run
-from azurestep.mesh.backend.state import Backend
+from azurestep.mesh.backend.state import LocalBackend
 from azurestep.mesh.callers.answer_writer import AnswerWriter
 from azurestep.mesh.callers.call import Call
 from azurestep.mesh.callers.context import CallContext
@@ -177,7 +177,7 @@
 ) -> None:
     instance = mesh.instances[0]
     with monkeypatch.context() as patch:
-        patch.setattr(Backend, "apply_heartbeat", fail)
+        patch.setattr(LocalBackend, "apply_heartbeat", fail)
         assert await instance.beat(mesh.session) == 500
     assert await instance.beat(mesh.session) == 200
     (line,) = mesh_lines.of(9010)
--- a/tests/test_mesh_crashes.py
+++ b/tests/test_mesh_crashes.py
@@ -41,8 +41,8 @@
 
 
 def crash(tracker: CrashTracker, request: Request, now_ms: float) -> None:
-    tracker.record_lost(request, now_ms)
-    tracker.record_death("shop", request.incarnation, now_ms + 1)
+    tracker.record_connection_loss(request, now_ms)
+    tracker.record_crash("shop", request.incarnation, now_ms + 1)
 
 
 def test_a_request_in_flight_at_two_deaths_is_quarantined(
@@ -59,9 +59,9 @@
     tracker: CrashTracker,
 ) -> None:
     for name in (b"i-1", b"i-2", b"i-3"):
-        tracker.record_lost(request(instance_id=name), 0.0)
+        tracker.record_connection_loss(request(instance_id=name), 0.0)
         tracker.record_alive("shop", Incarnation(name))
-        tracker.record_death("shop", Incarnation(name), 1.0)
+        tracker.record_crash("shop", Incarnation(name), 1.0)
     assert not tracker.is_quarantined(request(), 30.0)
 
 
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -166,7 +166,7 @@
     silence(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
     restore_answers(serving)
-    serving.node.inbound.stop(0.0)
+    serving.node.inbound.begin_shutdown(0.0)
     assert await task == 503
     assert serving.server.runs["n1"] == other.server.runs["n1"] == 0
     assert await asyncio.gather(*running) == [200] * 4
--- a/tests/test_mesh_downloads.py
+++ b/tests/test_mesh_downloads.py
@@ -117,7 +117,7 @@
     await caller.beat(mesh.session, "draining")
     await asyncio.sleep(0.05)
     for _ in range(40):
-        caller.node.calls.answer_sizes.learn("read", answer_bytes)
+        caller.node.calls.answer_sizes.record_size("read", answer_bytes)
     for instance in servers:
         instance.server.work_s = 0.5
     task = asyncio.create_task(mesh.get(caller, "/read/1", "m1"))
--- a/tests/test_mesh_health.py
+++ b/tests/test_mesh_health.py
@@ -71,7 +71,7 @@
 def test_a_run_withdrawn_before_its_deadline_is_no_failure(
     beside: Beside,
 ) -> None:
-    beside.inbound.admission.learn("read", 700.0)
+    beside.inbound.admission.record_run("read", 700.0)
     assert withdraw_after(beside, 600.0) == 0.0
     assert beside.inbound.admission.mean_run_ms("read") == 700.0
 
--- a/tests/test_mesh_incarnations.py
+++ b/tests/test_mesh_incarnations.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from azurestep.mesh.backend.crashes import CrashTracker
-from azurestep.mesh.backend.state import Backend
+from azurestep.mesh.backend.state import LocalBackend
 from azurestep.mesh.incarnation import Incarnation
 from azurestep.platform.announcement import Heartbeat, LeavingNotice
 
@@ -22,27 +22,29 @@
 
 
 @pytest.fixture
-def backend() -> Backend:
-    backend = Backend(DRAIN_MS)
+def backend() -> LocalBackend:
+    backend = LocalBackend(DRAIN_MS)
     backend.apply_heartbeat(FIRST, 0.0)
     return backend
 
 
-def test_later_start_is_a_new_incarnation(backend: Backend) -> None:
+def test_later_start_is_a_new_incarnation(backend: LocalBackend) -> None:
     backend.apply_heartbeat(RESTARTED, 10.0)
     assert backend.incarnation == Incarnation(b"i-1", 9_000)
     assert backend.slots == 6
     assert backend.cold_remaining_ms(10.0) == 500.0
 
 
-def test_heartbeat_sequence_restarts_with_a_new_incarnation(backend: Backend) -> None:
+def test_heartbeat_sequence_restarts_with_a_new_incarnation(
+    backend: LocalBackend,
+) -> None:
     backend.apply_heartbeat(RESTARTED, 10.0)
     backend.apply_heartbeat(attrs.evolve(RESTARTED, sequence=2, slots=7), 20.0)
     assert backend.slots == 7
 
 
 def test_leaving_of_an_earlier_incarnation_does_not_affect_the_new_one(
-    backend: Backend,
+    backend: LocalBackend,
 ) -> None:
     backend.apply_heartbeat(attrs.evolve(FIRST, sequence=41, leaving=True), 10.0)
     assert not backend.is_open()
@@ -59,7 +61,7 @@
     ],
 )
 def test_late_heartbeat_of_an_earlier_incarnation_is_ignored(
-    backend: Backend, late: Heartbeat
+    backend: LocalBackend, late: Heartbeat
 ) -> None:
     backend.apply_heartbeat(RESTARTED, 10.0)
     backend.apply_heartbeat(late, 20.0)
@@ -68,7 +70,7 @@
 
 
 def test_late_leaving_notice_of_an_earlier_incarnation_is_ignored(
-    backend: Backend,
+    backend: LocalBackend,
 ) -> None:
     backend.apply_heartbeat(RESTARTED, 10.0)
     backend.apply_leaving(LeavingNotice("i-1", started_ms=1_000), 20.0)
@@ -78,9 +80,9 @@
 
 
 def test_end_of_an_earlier_incarnation_does_not_affect_the_new_one(
-    backend: Backend,
+    backend: LocalBackend,
 ) -> None:
-    backend.mark_gone(Incarnation(b"i-1", 1_000))
+    backend.mark_ended(Incarnation(b"i-1", 1_000))
     backend.apply_heartbeat(attrs.evolve(FIRST, sequence=50), 10.0)
     assert not backend.is_open()
     backend.apply_heartbeat(RESTARTED, 20.0)
@@ -88,15 +90,15 @@
 
 
 def test_late_end_of_an_earlier_incarnation_keeps_the_new_one(
-    backend: Backend,
+    backend: LocalBackend,
 ) -> None:
     backend.apply_heartbeat(RESTARTED, 10.0)
-    backend.mark_gone(Incarnation(b"i-1", 1_000))
+    backend.mark_ended(Incarnation(b"i-1", 1_000))
     assert backend.is_open()
 
 
 def test_incarnation_first_seen_leaving_gets_no_requests() -> None:
-    backend = Backend(DRAIN_MS)
+    backend = LocalBackend(DRAIN_MS)
     backend.apply_heartbeat(attrs.evolve(FIRST, leaving=True), 10.0)
     assert not backend.admits(10.0)
     backend.apply_heartbeat(RESTARTED, 20.0)
@@ -104,7 +106,7 @@
 
 
 def test_leaving_notice_without_start_affects_the_newest_incarnation(
-    backend: Backend,
+    backend: LocalBackend,
 ) -> None:
     backend.apply_heartbeat(RESTARTED, 10.0)
     backend.apply_leaving(LeavingNotice("i-1"), 20.0)
@@ -112,7 +114,7 @@
 
 
 def test_heartbeats_without_start_are_ordered_by_sequence() -> None:
-    backend = Backend(DRAIN_MS)
+    backend = LocalBackend(DRAIN_MS)
     plain = attrs.evolve(FIRST, started_ms=None)
     backend.apply_heartbeat(plain, 0.0)
     backend.apply_heartbeat(attrs.evolve(plain, sequence=39, slots=9), 1.0)
@@ -121,7 +123,7 @@
 
 
 def test_start_announced_after_a_probe_is_the_same_incarnation() -> None:
-    backend = Backend(DRAIN_MS)
+    backend = LocalBackend(DRAIN_MS)
     backend.discover("i-1", "shop", 4)
     before = backend.incarnation
     backend.apply_heartbeat(FIRST, 10.0)
@@ -144,7 +146,7 @@
 def test_newest_incarnation_wins_and_leaving_is_final(
     steps: list[tuple[int, int, bool, bool]],
 ) -> None:
-    backend = Backend(DRAIN_MS)
+    backend = LocalBackend(DRAIN_MS)
     newest = 0
     leaving: set[int] = set()
     for now_ms, (started_ms, sequence, leaves, by_notice) in enumerate(steps):
@@ -167,8 +169,8 @@
     tracker = CrashTracker("127.0.0.1", count_servers=lambda service: 6)
     for now_ms, started_ms in ((0.0, 1_000), (20.0, 9_000)):
         request = attrs.evolve(crash_request(), server_started_ms=started_ms)
-        tracker.record_lost(request, now_ms)
-        tracker.record_death("shop", request.incarnation, now_ms + 1)
+        tracker.record_connection_loss(request, now_ms)
+        tracker.record_crash("shop", request.incarnation, now_ms + 1)
     assert tracker.is_quarantined(crash_request(), 30.0)
 
 
--- a/tests/test_mesh_leaving_callers.py
+++ b/tests/test_mesh_leaving_callers.py
@@ -25,8 +25,8 @@
 def set_long_run_time(instance: MeshInstance) -> None:
     """Set the run time that a node expects of reads."""
     admission = instance.node.inbound.admission
-    admission.forget()
-    admission.learn("read", LONG_MS)
+    admission.clear_run_times()
+    admission.record_run("read", LONG_MS)
 
 
 async def test_disconnect_of_a_waiting_caller_affects_no_other_request(
--- a/tests/test_mesh_pressure.py
+++ b/tests/test_mesh_pressure.py
@@ -13,21 +13,21 @@
     for index in range(120):
         detector.record_request("book", 1, (b"shop", b"books", b"files")[index % 3])
         detector.record_request("lookup", 1, b"shop")
-    assert detector.callers() == (("shop", 1),)
+    assert detector.calling_services() == (("shop", 1),)
 
 
 def test_a_route_used_from_several_services_is_not_detected_as_calls() -> None:
     detector = CallerDetector()
     for index in range(300):
         detector.record_request("book", 1, b"books" if index % 10 == 0 else b"shop")
-    assert detector.callers() == ()
+    assert detector.calling_services() == ()
 
 
 def test_a_mislabelled_call_changes_nothing() -> None:
     detector = CallerDetector()
     for index in range(300):
         detector.record_request("lookup", 1, b"books" if index == 0 else b"shop")
-    assert detector.callers() == (("shop", 1),)
+    assert detector.calling_services() == (("shop", 1),)
 
 
 def test_a_node_reports_the_ratio_that_it_refused() -> None:
--- a/tests/test_mesh_queue.py
+++ b/tests/test_mesh_queue.py
@@ -26,7 +26,7 @@
 def test_a_leaving_server_refuses_a_long_queue() -> None:
     """Guards against recursion through the queue."""
     beside = make_beside(slots=1)
-    beside.inbound.admission.learn("read", SHORT_MS)
+    beside.inbound.admission.record_run("read", SHORT_MS)
     first = beside.submit(Listener(), LONG_MS)
     waiting = submit_waiting(beside, MANY, LONG_MS)
     beside.leave()
@@ -65,7 +65,7 @@
         raise RuntimeError("a receiver fails")
 
     listeners[0].react = end_another
-    beside.inbound.admission.learn("read", 30_000.0)
+    beside.inbound.admission.record_run("read", 30_000.0)
     answer(first)
     beside.loop.run_due()
     beside.after(100.0)
--- a/tests/test_mesh_queue_properties.py
+++ b/tests/test_mesh_queue_properties.py
@@ -145,7 +145,7 @@
             and run._confirmation_asked_ms
             and not run._needs_confirmation
         ):
-            run.body(BODY, True)
+            run.add_body(BODY, True)
 
     @rule(number=numbers)
     def serve(self, number: int) -> None:
@@ -161,8 +161,8 @@
 
     @rule(run_ms=st.sampled_from([1.0, 50.0, 300.0, 2000.0, 2000.0]))
     def learn(self, run_ms: float) -> None:
-        self.beside.inbound.admission.forget()
-        self.beside.inbound.admission.learn("read", run_ms)
+        self.beside.inbound.admission.clear_run_times()
+        self.beside.inbound.admission.record_run("read", run_ms)
 
     @rule()
     def announce(self) -> None:
@@ -184,8 +184,8 @@
     @precondition(lambda self: len(self.sent) > MIN_SENT)
     @rule(left_ms=st.sampled_from([100.0, 600.0, 2500.0]))
     def stop(self, left_ms: float) -> None:
-        if not self.beside.inbound.stopping:
-            self.beside.inbound.stop(self.beside.loop.now_ms + left_ms)
+        if not self.beside.inbound.shutting_down:
+            self.beside.inbound.begin_shutdown(self.beside.loop.now_ms + left_ms)
 
     @rule()
     def take_one_turn(self) -> None:
@@ -206,7 +206,7 @@
             not transfers._waiting or len(transfers._active) == MAX_CONCURRENT_TRANSFERS
         )
         now_ms = self.beside.loop.now_ms
-        assert not admission.find_late(now_ms)
+        assert not admission.find_expiring(now_ms)
         for run in transfers.waiting:
             assert isinstance(run, Run)
             assert admission.can_end_in_time(run.ticket, now_ms)
--- a/tests/test_mesh_restart.py
+++ b/tests/test_mesh_restart.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from azurestep.mesh.backend.state import Backend
+from azurestep.mesh.backend.state import LocalBackend
 from azurestep.platform.announcement import Heartbeat, LeavingNotice
 
 from .fixtures_mesh import MeshFleet, MeshInstance
@@ -45,7 +45,7 @@
 
 
 def test_heartbeat_overrides_a_probe() -> None:
-    backend = Backend(DRAIN_MS)
+    backend = LocalBackend(DRAIN_MS)
     assert backend.discover("i-1", "shop", 4)
     backend.apply_heartbeat(attrs.evolve(BEAT, slots=9, cold_remaining_ms=500.0), 10.0)
     assert backend.slots == 9
@@ -53,7 +53,7 @@
 
 
 def test_probe_does_not_override_a_heartbeat() -> None:
-    backend = Backend(DRAIN_MS)
+    backend = LocalBackend(DRAIN_MS)
     backend.apply_heartbeat(BEAT, 0.0)
     assert not backend.discover("i-2", "shop", 4)
     assert backend.instance_id == "i-1"
@@ -67,7 +67,7 @@
 def test_server_first_seen_leaving_gets_no_requests(
     notice: Heartbeat | LeavingNotice,
 ) -> None:
-    backend = Backend(DRAIN_MS)
+    backend = LocalBackend(DRAIN_MS)
     if isinstance(notice, Heartbeat):
         backend.apply_heartbeat(notice, 100.0)
     else:
@@ -78,7 +78,7 @@
 
 
 def test_server_leaving_after_its_discovery_drains_for_half_the_limit() -> None:
-    backend = Backend(DRAIN_MS)
+    backend = LocalBackend(DRAIN_MS)
     backend.discover("i-1", "shop", 4)
     backend.apply_leaving(LeavingNotice("i-1"), 100.0)
     assert not backend.is_open()
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -25,23 +25,25 @@
     returning: ReturningCallers,
 ) -> None:
     returning.add(Attempt(REQUEST_KEY, 0.0, 1200.0))
-    assert returning.first_attempt_ms((b"GET", b"other", b"/"), 80.0, 1200.0) == 80.0
-    assert returning.first_attempt_ms(REQUEST_KEY, 80.0, 1280.0) == 80.0
-    assert returning.first_attempt_ms(REQUEST_KEY, 80.0, 1202.0) == 0.0
+    assert (
+        returning.pop_first_attempt_ms((b"GET", b"other", b"/"), 80.0, 1200.0) == 80.0
+    )
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 80.0, 1280.0) == 80.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 80.0, 1202.0) == 0.0
 
 
 def test_an_attempt_matches_one_retry(returning: ReturningCallers) -> None:
     returning.add(Attempt(REQUEST_KEY, 0.0, 1200.0))
-    assert returning.first_attempt_ms(REQUEST_KEY, 80.0, 1200.0) == 0.0
-    assert returning.first_attempt_ms(REQUEST_KEY, 90.0, 1200.0) == 90.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 80.0, 1200.0) == 0.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 90.0, 1200.0) == 90.0
 
 
 def test_attempts_past_their_deadline_expire(returning: ReturningCallers) -> None:
     returning.add(Attempt(REQUEST_KEY, 0.0, 1200.0))
     returning.add(Attempt(REQUEST_KEY, 500.0, 1700.0))
     returning.expire(1300.0)
-    assert returning.first_attempt_ms(REQUEST_KEY, 1300.0, 1200.0) == 1300.0
-    assert returning.first_attempt_ms(REQUEST_KEY, 1300.0, 1700.0) == 500.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 1300.0, 1200.0) == 1300.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 1300.0, 1700.0) == 500.0
 
 
 async def test_the_second_attempt_of_a_caller_counts_from_its_first(
@@ -54,7 +56,7 @@
     returning = asked.node.calls.returning_callers
     now_ms = asked.node.runtime.now_ms()
     request_key = (b"GET", b"shop.example", b"/read/7")
-    found_ms = returning.first_attempt_ms(request_key, now_ms, now_ms + 895)
+    found_ms = returning.pop_first_attempt_ms(request_key, now_ms, now_ms + 895)
     assert 0 < now_ms - found_ms < 200
     assert caller_headers("r1")["Attempt-Id"] == "r1"
 
@@ -97,7 +99,7 @@
         deadline_ms = created_ms + self.DEADLINE_MS
         first_attempt_ms = now_ms
         if self.recognises_retries:
-            first_attempt_ms = self.returning.first_attempt_ms(
+            first_attempt_ms = self.returning.pop_first_attempt_ms(
                 request_key, now_ms, deadline_ms
             )
         objective_deadline_ms = first_attempt_ms + self.OBJECTIVE_MS
@@ -127,7 +129,7 @@
         created_ms, _ = ticket.owner  # type: ignore[misc]
         late = now_ms - created_ms > self.OBJECTIVE_MS
         self.outcomes["late" if late else "in time"] += 1
-        self.admission.learn("read", self.RUN_MS)
+        self.admission.record_run("read", self.RUN_MS)
         for started in end_request(self.admission, ticket, now_ms):
             self.run(started, now_ms)
 
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -210,7 +210,7 @@
 def set_mean_run_ms(instance: MeshInstance, run_ms: float) -> None:
     """Set the mean run time of reads at a node."""
     for _ in range(60):
-        instance.node.inbound.admission.learn("read", run_ms)
+        instance.node.inbound.admission.record_run("read", run_ms)
 
 
 async def test_waiting_requests_are_retried_elsewhere_at_once(
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -719,8 +719,8 @@
     tracker = crashes.CrashTracker(
         "10.0.0.1", lambda name, news: told.append([name, news]), lambda service: 5
     )
-    tracker.record_lost(request(True), 100.0)
-    tracker.record_death("songs", Incarnation(b"i-1", 77), 110.0)
+    tracker.record_connection_loss(request(True), 100.0)
+    tracker.record_crash("songs", Incarnation(b"i-1", 77), 110.0)
     [[service, news]] = told
     check("told_crashes", [service, crashes.encode_updates(news)])
 
