--- a/standins/signing_server.py
+++ b/standins/signing_server.py
@@ -34,7 +34,7 @@
         Its incarnation.
     work_s : float
         Time that a request takes; one whose target ends with ``ms=N`` takes that.
-    misbehave : Callable or None
+    answer_override : Callable or None
         Returns the bytes of the answer in place of the usual ones, or None to
         close the connection without an answer.
     runs : Counter
@@ -47,7 +47,7 @@
     work_s: float = 0.0
     slots: int = 4
     healthy: bool = True
-    misbehave: Handler | None = None
+    answer_override: Handler | None = None
     runs: Counter[str] = attrs.field(factory=Counter)
     received: list[Received] = attrs.field(factory=list)
     arrivals: list[tuple[str, str, float]] = attrs.field(factory=list)
@@ -113,8 +113,8 @@
         name = received.headers.get("attempt-id", "")
         self.runs[name] += 1
         self.arrivals.append((name, self.instance_id, received.at_s))
-        if self.misbehave is not None:
-            return self.misbehave(received)
+        if self.answer_override is not None:
+            return self.answer_override(received)
         self.running += 1
         self.most_running = max(self.most_running, self.running)
         try:
--- a/tests/fixtures_inbound.py
+++ b/tests/fixtures_inbound.py
@@ -17,7 +17,7 @@
 from azurestep.platform.announcement import Heartbeat
 
 DRAIN_MS = 2000.0
-BEAT = Heartbeat("i-1", "shop", 1, 4, False, 0.0)
+HEARTBEAT = Heartbeat("i-1", "shop", 1, 4, False, 0.0)
 ROUTE = "read"
 
 
@@ -52,11 +52,11 @@
         return self.loop.now_ms
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        self.loop.call_soon(_run_whole, work)
+        self.loop.call_soon(_run_to_completion, work)
 
 
 @attrs.define(eq=False)
-class OpenRuntime(ManualRuntime):
+class ErrorRecordingRuntime(ManualRuntime):
     """Records contained faults, and lets tests see the errors of callbacks."""
 
     errors: list[BaseException] = attrs.field(factory=list)
@@ -70,7 +70,7 @@
         self.loop.call_soon(act)
 
 
-def _run_whole(work: Coroutine[Any, Any, None]) -> None:
+def _run_to_completion(work: Coroutine[Any, Any, None]) -> None:
     try:
         work.send(None)
     except StopIteration:
@@ -86,7 +86,7 @@
 
 
 @attrs.define(eq=False)
-class Listener:
+class RecordingReceiver:
     """Records the outcome of one request, and reacts as a test defines.
 
     Attributes
@@ -128,7 +128,7 @@
 
 
 @attrs.define(eq=False)
-class Beside:
+class InboundHarness:
     """One backend server with its inbound path."""
 
     loop: ManualLoop
@@ -137,7 +137,7 @@
 
     def submit(
         self,
-        listener: Listener,
+        receiver: RecordingReceiver,
         remaining_ms: float = 1200.0,
         needs_confirmation: bool = False,
         body_bytes: int = 0,
@@ -163,11 +163,11 @@
             b"",
             needs_confirmation=needs_confirmation,
         )
-        return self.inbound.submit(request, listener)
+        return self.inbound.submit(request, receiver)
 
     def leave(self) -> None:
         """Let the server leave, long enough ago to admit nothing."""
-        leaving = attrs.evolve(BEAT, sequence=2, leaving=True)
+        leaving = attrs.evolve(HEARTBEAT, sequence=2, leaving=True)
         self.inbound.backend.apply_heartbeat(leaving, self.loop.now_ms)
         self.loop.now_ms += DRAIN_MS
 
@@ -188,11 +188,13 @@
     )
 
 
-def make_beside(slots: int = 4, runtime: type[ManualRuntime] = ManualRuntime) -> Beside:
+def make_inbound_harness(
+    slots: int = 4, runtime: type[ManualRuntime] = ManualRuntime
+) -> InboundHarness:
     """Return a backend server that has just announced itself."""
     loop = ManualLoop()
     backend = LocalBackend(DRAIN_MS)
-    backend.apply_heartbeat(attrs.evolve(BEAT, slots=slots), 0.0)
+    backend.apply_heartbeat(attrs.evolve(HEARTBEAT, slots=slots), 0.0)
     inbound = ManualInbound(
         runtime(loop),  # type: ignore[arg-type]
         ("127.0.0.1", 1),
@@ -201,10 +203,10 @@
         CrashTracker("127.0.0.1"),
     )
     inbound.tick()
-    return Beside(loop, inbound)
+    return InboundHarness(loop, inbound)
 
 
 @pytest.fixture
-def beside() -> Beside:
+def harness() -> InboundHarness:
     """Return a backend server with four slots."""
-    return make_beside()
+    return make_inbound_harness()
--- a/tests/test_lines_faults.py
+++ b/tests/test_lines_faults.py
@@ -13,7 +13,7 @@
 
 from .fixtures_mesh import MeshFleet
 from .test_lines import Written, line, run
-from .test_mesh_containment import FAULTY, breaks, of_call
+from .test_mesh_containment import FAULTY, inject_fault, of_call
 
 FAULT, MALFORMED = events.FAULT.number, events.PEER_MALFORMED.number
 
@@ -92,7 +92,7 @@
     monkeypatch: pytest.MonkeyPatch,
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    breaks(monkeypatch, Call, "on_answer", of_call)
+    inject_fault(monkeypatch, Call, "on_answer", of_call)
     assert (await mesh.get(mesh.instances[0], "/read/1", FAULTY.decode()))[0] == 502
     Written(source).save(capfd)
     status, shown = run("faults", str(source))
--- a/tests/test_mesh_admission.py
+++ b/tests/test_mesh_admission.py
@@ -230,8 +230,10 @@
 def test_requests_that_leave_the_queue_do_not_delay_the_others() -> None:
     admission = Admission(slots=1)
     admission.record_run("read", 500.0)
-    first, urgent, patient = (ticket(priority, 0.0, 9000.0) for priority in (1, 0, 2))
-    for one in (first, urgent, patient):
+    first, urgent, low_priority = (
+        ticket(priority, 0.0, 9000.0) for priority in (1, 0, 2)
+    )
+    for one in (first, urgent, low_priority):
         one.deadline_ms = 9000.0
         admission.admit(one, 0.0)
     urgent.deadline_ms = 900.0
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -68,8 +68,8 @@
     mesh: MeshFleet,
 ) -> None:
     leaving, other = mesh.instances[0], mesh.instances[1]
-    for server in (item.node.incoming_links for item in mesh.instances):
-        server.broadcast_state()
+    for links in (item.node.incoming_links for item in mesh.instances):
+        links.broadcast_state()
     await leaving.beat(mesh.session, "draining")
     async with asyncio.timeout(0.2):
         while sum(e.open for e in other.node.members.endpoints("shop")) == 3:
@@ -82,9 +82,9 @@
     reports: list[int] = []
     original = IncomingLinks._write
 
-    def counting(self: IncomingLinks, servers: set[IncomingLink], data: bytes) -> None:
-        reports.append(len(servers) if data[1] == Kind.STATE else 0)
-        original(self, servers, data)
+    def counting(self: IncomingLinks, links: set[IncomingLink], data: bytes) -> None:
+        reports.append(len(links) if data[1] == Kind.STATE else 0)
+        original(self, links, data)
 
     monkeypatch.setattr(IncomingLinks, "_write", counting)
     incoming_links = mesh.instances[0].node.incoming_links
--- a/tests/test_mesh_choice.py
+++ b/tests/test_mesh_choice.py
@@ -71,10 +71,10 @@
 
 def test_a_failed_or_unresponsive_server_is_the_last_resort(random: Random) -> None:
     failed = endpoint("failed", failed_until_ms=100.0)
-    doubted = endpoint("doubted", unresponsive=True)
-    sound = endpoint("sound", in_flight=4)
-    assert pick([failed, doubted, sound], random) == "sound"
-    assert pick([doubted], random) == "doubted"
+    unresponsive = endpoint("unresponsive", unresponsive=True)
+    healthy = endpoint("healthy", in_flight=4)
+    assert pick([failed, unresponsive, healthy], random) == "healthy"
+    assert pick([unresponsive], random) == "unresponsive"
 
 
 def test_own_requests_count_until_the_next_report(random: Random) -> None:
--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -19,19 +19,19 @@
 FAULTY = b"faulty"
 
 
-def breaks(
+def inject_fault(
     monkeypatch: pytest.MonkeyPatch,
     owner: type,
     method: str,
     request_id_of: Callable[..., bytes],
 ) -> None:
     """Make a method raise for the faulty request only."""
-    sound = getattr(owner, method)
+    original = getattr(owner, method)
 
     def faulty(self: Any, *arguments: Any) -> Any:
         if request_id_of(self, *arguments) == FAULTY:
             raise KeyError("a fault of our own")
-        return sound(self, *arguments)
+        return original(self, *arguments)
 
     monkeypatch.setattr(owner, method, faulty)
 
@@ -90,7 +90,7 @@
 ) -> None:
     owner, request_id_of = SERVER_STEPS[method]
     caller, remote = await use_one_link(mesh)
-    breaks(monkeypatch, owner, method, request_id_of)
+    inject_fault(monkeypatch, owner, method, request_id_of)
     assert await pay_with_one_fault(mesh, caller) == (502, [200] * 4)
     (entry,) = mesh_lines.of(
         9010, events.PEER_MALFORMED.number, events.PEER_LOST.number
@@ -106,7 +106,7 @@
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch, method: str
 ) -> None:
     caller, remote = await use_one_link(mesh)
-    breaks(monkeypatch, Call, method, of_call)
+    inject_fault(monkeypatch, Call, method, of_call)
     assert await pay_with_one_fault(mesh, caller) == (502, [200] * 4)
     (entry,) = mesh_lines.of(
         9010, events.PEER_MALFORMED.number, events.PEER_LOST.number
@@ -129,15 +129,15 @@
     assert (await mesh.get(mesh.instances[1], "/read/1", "after"))[0] == 200
 
 
-async def test_a_failing_receiver_keeps_no_other_from_its_outcome(
+async def test_other_requests_get_their_outcome_when_a_receiver_fails(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     caller, remote = await use_one_link(mesh)
-    breaks(monkeypatch, Call, "on_failure", of_call)
+    inject_fault(monkeypatch, Call, "on_failure", of_call)
     paying = asyncio.create_task(pay_with_one_fault(mesh, caller))
     await eventually(lambda: remote.server.running == 4)
-    for server in list(remote.node.incoming_links.links):
-        server.abort()
+    for link in list(remote.node.incoming_links.links):
+        link.abort()
     loop = asyncio.get_running_loop()
     began = loop.time()
     faulty, others = await paying
@@ -147,12 +147,12 @@
     assert entry["id"] == FAULTY.decode()
 
 
-async def test_a_fault_in_one_cancellation_prevents_no_other(
+async def test_other_runs_are_cancelled_when_one_cancellation_fails(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     caller, remote = await use_one_link(mesh)
     remote.server.work_s = 1.0
-    breaks(monkeypatch, Run, "cancel", of_run)
+    inject_fault(monkeypatch, Run, "cancel", of_run)
     paying = asyncio.create_task(pay_with_one_fault(mesh, caller))
     await eventually(lambda: remote.server.running == 4)
     for link in caller.node.members.links.values():
@@ -184,7 +184,7 @@
 ) -> None:
     owner, method, request_id_of = place
     caller, remote = await use_one_link(mesh)
-    breaks(monkeypatch, owner, method, request_id_of)
+    inject_fault(monkeypatch, owner, method, request_id_of)
     loop = asyncio.get_running_loop()
     began = loop.time()
     assert await pay_with_one_fault(mesh, caller) == (502, [200] * 4)
--- a/tests/test_mesh_containment_callers.py
+++ b/tests/test_mesh_containment_callers.py
@@ -32,7 +32,7 @@
     MeshLines,
     caller_headers,
 )
-from .test_mesh_containment import FAULTY, breaks, faults, of_call, of_run
+from .test_mesh_containment import FAULTY, faults, inject_fault, of_call, of_run
 from .test_mesh_faults import eventually
 
 Owner = tuple[type, Callable[..., bytes]]
@@ -83,7 +83,7 @@
     method: str,
     owner: Owner,
 ) -> None:
-    breaks(monkeypatch, owner[0], method, owner[1])
+    inject_fault(monkeypatch, owner[0], method, owner[1])
     names = ["a", FAULTY.decode(), "b", "c"]
     data = b"".join(encode_request(name) for name in names)
     assert await send_raw(mesh.instances[0], data, 4) == [200, 502, 200, 200]
@@ -97,7 +97,7 @@
 ) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 0.1
-    breaks(monkeypatch, Call, "on_body", of_call)
+    inject_fault(monkeypatch, Call, "on_body", of_call)
     data = encode_request("a") + encode_request(FAULTY.decode(), b"x" * 100)
     assert await send_raw(mesh.instances[0], data, 2) == [200, 502]
     assert len(mesh_lines.of(9010)) == 1
@@ -108,7 +108,7 @@
 ) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 1.0
-    breaks(monkeypatch, Call, "on_disconnect", of_call)
+    inject_fault(monkeypatch, Call, "on_disconnect", of_call)
     reader, writer = await asyncio.open_connection(mesh.instances[0].host, CALLER_PORT)
     names = ["a", FAULTY.decode(), "b", "c"]
     writer.write(b"".join(encode_request(name) for name in names))
@@ -127,7 +127,7 @@
 ) -> None:
     for instance in mesh.instances:
         instance.server.work_s = 1.5
-    breaks(monkeypatch, Call, "_on_timeout", of_call)
+    inject_fault(monkeypatch, Call, "_on_timeout", of_call)
     calls = [
         mesh.get(mesh.instances[0], "/read/1", name, 200)
         for name in (FAULTY.decode(), "a")
@@ -142,7 +142,7 @@
 async def test_internal_error_in_handling_an_answer_fails_its_request_only(
     mesh: MeshFleet, mesh_lines: MeshLines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    breaks(monkeypatch, Run, "on_complete", of_run)
+    inject_fault(monkeypatch, Run, "on_complete", of_run)
     names = ["a", FAULTY.decode(), "b"]
     async with asyncio.timeout(1.0):
         answers = await asyncio.gather(
@@ -161,7 +161,7 @@
     for instance in mesh.instances[1:]:
         await instance.beat(mesh.session, "draining")
     await asyncio.sleep(0.1)
-    breaks(monkeypatch, Call, "on_answer", of_call)
+    inject_fault(monkeypatch, Call, "on_answer", of_call)
     names = ["a", FAULTY.decode(), "b"]
     async with asyncio.timeout(1.0):
         answers = await asyncio.gather(
--- a/tests/test_mesh_containment_queue.py
+++ b/tests/test_mesh_containment_queue.py
@@ -13,7 +13,7 @@
 from azurestep.mesh.decisions.admission import Admission
 from azurestep.mesh.metrics import Metrics
 
-from .fixtures_inbound import Beside, Listener, make_beside
+from .fixtures_inbound import InboundHarness, RecordingReceiver, make_inbound_harness
 from .test_mesh_bodies import upload
 
 LONG_MS = 60_000.0
@@ -21,66 +21,68 @@
 
 
 @contextlib.contextmanager
-def broken(
+def inject_fault(
     owner: type, method: str, faulty: Callable[..., bool] = lambda *_: True
 ) -> Iterator[None]:
     """Make a method raise where ``faulty`` is true."""
-    sound = getattr(owner, method)
+    original = getattr(owner, method)
 
     def raising(self: Any, *arguments: Any, **named: Any) -> Any:
         if faulty(self, *arguments):
             raise KeyError("a fault of our own")
-        return sound(self, *arguments, **named)
+        return original(self, *arguments, **named)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(owner, method, raising)
         yield
 
 
-def occupy_slots(beside: Beside, count: int = SLOTS) -> list[Run]:
+def occupy_slots(harness: InboundHarness, count: int = SLOTS) -> list[Run]:
     """Occupy slots with long runs."""
-    runs = [beside.submit(Listener(), LONG_MS) for _ in range(count)]
-    beside.loop.run_due()
+    runs = [harness.submit(RecordingReceiver(), LONG_MS) for _ in range(count)]
+    harness.loop.run_due()
     return runs
 
 
-def test_a_fault_in_the_start_of_a_run_leaks_no_slot(beside: Beside) -> None:
-    with broken(Run, "start"):
+def test_a_fault_in_the_start_of_a_run_leaks_no_slot(harness: InboundHarness) -> None:
+    with inject_fault(Run, "start"):
         for _ in range(SLOTS):
             with pytest.raises(KeyError):
-                beside.submit(Listener(), LONG_MS)
-    assert beside.inbound.admission.in_flight == 0
-    assert not beside.inbound.busy
+                harness.submit(RecordingReceiver(), LONG_MS)
+    assert harness.inbound.admission.in_flight == 0
+    assert not harness.inbound.busy
 
 
-def test_a_fault_in_requesting_a_body_leaks_no_transfer(beside: Beside) -> None:
-    with broken(Listener, "on_slot_ready"):
+def test_a_fault_in_requesting_a_body_leaks_no_transfer(
+    harness: InboundHarness,
+) -> None:
+    with inject_fault(RecordingReceiver, "on_slot_ready"):
         for _ in range(MAX_CONCURRENT_TRANSFERS):
             with pytest.raises(KeyError):
-                upload(beside, LONG_MS)
-    _, sound = upload(beside, LONG_MS)
-    beside.loop.run_due()
-    assert sound.asked == 1
-    assert beside.inbound.admission.in_flight == 1
+                upload(harness, LONG_MS)
+    _, healthy = upload(harness, LONG_MS)
+    harness.loop.run_due()
+    assert healthy.asked == 1
+    assert harness.inbound.admission.in_flight == 1
 
 
-def test_a_fault_in_one_timeout_check_skips_no_other(beside: Beside) -> None:
-    listeners = [Listener(), Listener()]
-    faulty, _ = (beside.submit(one) for one in listeners)
-    beside.loop.run_due()
-    beside.loop.now_ms += 2000.0
-    with broken(Run, "enforce_timeouts", lambda run, _: run is faulty):
-        beside.inbound.tick()
-        beside.loop.run_due()
-    assert [one.outcomes for one in listeners] == [["failed FAULT"], ["failed TIMEOUT"]]
-    assert beside.inbound.admission.in_flight == 0
+def test_a_fault_in_one_timeout_check_skips_no_other(harness: InboundHarness) -> None:
+    receivers = [RecordingReceiver(), RecordingReceiver()]
+    faulty, _ = (harness.submit(one) for one in receivers)
+    harness.loop.run_due()
+    harness.loop.now_ms += 2000.0
+    with inject_fault(Run, "enforce_timeouts", lambda run, _: run is faulty):
+        harness.inbound.tick()
+        harness.loop.run_due()
+    assert [one.outcomes for one in receivers] == [["failed FAULT"], ["failed TIMEOUT"]]
+    assert harness.inbound.admission.in_flight == 0
 
 
 def test_a_fault_in_a_timeout_check_does_not_prevent_a_reconnection(
-    beside: Beside,
+    harness: InboundHarness,
 ) -> None:
-    occupy_slots(beside, 1)
-    beside.inbound.unreachable = True
+    occupy_slots(harness, 1)
+    harness.inbound.unreachable = True
     swept: list[float] = []
     tried: list[object] = []
 
@@ -88,54 +90,54 @@
         tried.append(None)
         return None
 
-    with broken(Run, "enforce_timeouts"), pytest.MonkeyPatch.context() as patch:
+    with inject_fault(Run, "enforce_timeouts"), pytest.MonkeyPatch.context() as patch:
         patch.setattr(IdlePool, "sweep", lambda idle, now_s: swept.append(now_s))
-        patch.setattr(type(beside.inbound), "connect", connect)
-        beside.inbound.tick()
-        beside.loop.run_due()
+        patch.setattr(type(harness.inbound), "connect", connect)
+        harness.inbound.tick()
+        harness.loop.run_due()
     assert len(swept) == 1
     assert len(tried) == 1
 
 
 def test_a_fault_in_refusing_a_request_does_not_block_the_queue(
-    beside: Beside,
+    harness: InboundHarness,
 ) -> None:
-    running = occupy_slots(beside)
-    stuck, waiting = Listener(), Listener()
-    faulty = beside.submit(stuck)
-    next_run = beside.submit(waiting, LONG_MS)
-    faulty.ticket.deadline_ms = beside.loop.now_ms
-    with broken(Run, "refuse", lambda run, *_: run is faulty):
+    running = occupy_slots(harness)
+    stuck, waiting = RecordingReceiver(), RecordingReceiver()
+    faulty = harness.submit(stuck)
+    next_run = harness.submit(waiting, LONG_MS)
+    faulty.ticket.deadline_ms = harness.loop.now_ms
+    with inject_fault(Run, "refuse", lambda run, *_: run is faulty):
         running[0].cancel()
-        beside.loop.run_due()
+        harness.loop.run_due()
     assert next_run.may_have_run
     assert stuck.outcomes == ["failed FAULT"]
 
 
 def test_a_fault_in_starting_a_request_does_not_block_the_queue(
-    beside: Beside,
+    harness: InboundHarness,
 ) -> None:
-    running = occupy_slots(beside)
-    stuck = Listener()
-    faulty = beside.submit(stuck)
-    next_run = beside.submit(Listener(), LONG_MS)
-    with broken(Run, "start", lambda run: run is faulty):
+    running = occupy_slots(harness)
+    stuck = RecordingReceiver()
+    faulty = harness.submit(stuck)
+    next_run = harness.submit(RecordingReceiver(), LONG_MS)
+    with inject_fault(Run, "start", lambda run: run is faulty):
         running[0].cancel()
-        beside.loop.run_due()
+        harness.loop.run_due()
     assert stuck.outcomes == ["failed FAULT"]
     assert next_run.may_have_run
-    assert len(beside.inbound.admission.running) == SLOTS
+    assert len(harness.inbound.admission.running) == SLOTS
 
 
 def test_a_fault_in_checking_an_upload_does_not_block_the_transfers(
-    beside: Beside,
+    harness: InboundHarness,
 ) -> None:
-    uploads = [upload(beside, LONG_MS) for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
+    uploads = [upload(harness, LONG_MS) for _ in range(MAX_CONCURRENT_TRANSFERS + 2)]
     faulty, stuck = uploads[MAX_CONCURRENT_TRANSFERS]
     _, following = uploads[MAX_CONCURRENT_TRANSFERS + 1]
-    with broken(Run, "refuse_if_late", lambda run, _: run is faulty):
+    with inject_fault(Run, "refuse_if_late", lambda run, _: run is faulty):
         uploads[0][0].cancel()
-        beside.loop.run_due()
+        harness.loop.run_due()
     assert following.asked == 1
     assert stuck.outcomes == ["failed FAULT"]
 
@@ -160,14 +162,14 @@
 
 def test_a_fault_in_the_end_of_a_run_still_reports_its_outcome() -> None:
     for step in FINISH_STEPS:
-        beside = make_beside()
-        refused, failed = Listener(), Listener()
-        occupy_slots(beside, SLOTS - 1)
-        run = beside.submit(failed)
-        waiting = beside.submit(refused)
-        beside.loop.run_due()
-        beside.loop.now_ms += 1200.0
-        with broken(*step):
+        harness = make_inbound_harness()
+        refused, failed = RecordingReceiver(), RecordingReceiver()
+        occupy_slots(harness, SLOTS - 1)
+        run = harness.submit(failed)
+        waiting = harness.submit(refused)
+        harness.loop.run_due()
+        harness.loop.now_ms += 1200.0
+        with inject_fault(*step):
             for one in (run, waiting):
                 with contextlib.suppress(KeyError):
                     one.withdraw()
@@ -175,12 +177,12 @@
         assert refused.outcomes == ["TOO_LATE"], step
 
 
-def test_a_fault_in_sending_a_request_ends_it(beside: Beside) -> None:
-    listener = Listener()
-    with broken(Run, "_send"):
-        beside.submit(listener, LONG_MS)
+def test_a_fault_in_sending_a_request_ends_it(harness: InboundHarness) -> None:
+    receiver = RecordingReceiver()
+    with inject_fault(Run, "_send"):
+        harness.submit(receiver, LONG_MS)
         with contextlib.suppress(KeyError):
-            beside.loop.run_due()
-    beside.loop.run_due()
-    assert listener.outcomes == ["failed FAULT"]
-    assert beside.inbound.admission.in_flight == 0
+            harness.loop.run_due()
+    harness.loop.run_due()
+    assert receiver.outcomes == ["failed FAULT"]
+    assert harness.inbound.admission.in_flight == 0
--- a/tests/test_mesh_crashes.py
+++ b/tests/test_mesh_crashes.py
@@ -87,17 +87,17 @@
     crashed: list[str] = []
 
     def poisoned(instance: MeshInstance):  # type: ignore[no-untyped-def]
-        def misbehave(received):  # type: ignore[no-untyped-def]
+        def answer_override(received):  # type: ignore[no-untyped-def]
             crashed.append(instance.host)
             stops.append(asyncio.ensure_future(instance.server.stop()))
 
-        return misbehave
+        return answer_override
 
     for index, instance in enumerate(mesh.instances):
         await mesh.get(instance, "/read/1", f"opens-a-connection-{index}")
     stops: list[asyncio.Future[None]] = []
     for instance in mesh.instances:
-        instance.server.misbehave = poisoned(instance)
+        instance.server.answer_override = poisoned(instance)
     status, _ = await mesh.get(mesh.instances[0], POISON, "x1")
     assert status == 502
     assert len(crashed) == 2
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -12,7 +12,7 @@
 from standins.signing_server import Received, signed
 
 from .fixtures_mesh import MeshFleet, MeshInstance
-from .test_mesh_faults import eventually, silence
+from .test_mesh_faults import eventually, suspend_links
 from .test_mesh_refusals import only, read
 
 
@@ -61,14 +61,14 @@
     return signed(received, b"broken", 500)
 
 
-@pytest.mark.parametrize("misbehave", [refuse, drop, error])
+@pytest.mark.parametrize("answer_override", [refuse, drop, error])
 async def test_earlier_run_answers_if_the_second_server_does_not(
-    mesh: MeshFleet, misbehave
+    mesh: MeshFleet, answer_override
 ) -> None:  # type: ignore[no-untyped-def]
     serving, other, _ = mesh.instances
-    other.server.misbehave = misbehave
+    other.server.answer_override = answer_override
     task = await start_run_at_first(mesh)
-    silence(serving)
+    suspend_links(serving)
     await eventually(lambda: other.server.runs["m1"] == 1, 0.6)
     restore_answers(serving)
     assert await task == 200
@@ -82,7 +82,7 @@
     serving, other, _ = mesh.instances
     other.server.work_s = 1.0
     task = await start_run_at_first(mesh, work_s=0.6)
-    silence(serving)
+    suspend_links(serving)
     await eventually(lambda: other.server.runs["m1"] == 1, 0.6)
     restore_answers(serving)
     assert await task == 200
@@ -95,7 +95,7 @@
     serving, other, _ = mesh.instances
     other.server.work_s = 0.1
     task = await start_run_at_first(mesh, work_s=1.1)
-    silence(serving)
+    suspend_links(serving)
     assert await task == 200
     assert other.server.runs["m1"] == 1
     await eventually(lambda: serving.server.cancelled == 1, 0.3)
@@ -105,7 +105,7 @@
     serving, other, _ = mesh.instances
     other.server.work_s = 1.0
     task = await start_run_at_first(mesh)
-    silence(serving)
+    suspend_links(serving)
     await eventually(lambda: other.server.runs["m1"] == 1, 0.6)
     task.cancel()
     await eventually(
@@ -124,7 +124,7 @@
     assert isinstance(silent, PeerConnection)
     task = asyncio.create_task(read(mesh, asking, "c1"))
     await eventually(lambda: serving.server.runs["c1"] == 1)
-    silence(serving)
+    suspend_links(serving)
     await eventually(lambda: link.connection is not silent, 1.0)
     restore_answers(serving)
     assert await task == 200
@@ -137,7 +137,7 @@
     serving, other, asking = mesh.instances
     other.node.inbound.admission.drain_deadline_ms = 0.0
     task = await start_run_at_first(mesh)
-    silence(serving)
+    suspend_links(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
     asking.server.instance_id += "b"
     await asking.beat(mesh.session)
@@ -163,7 +163,7 @@
     await eventually(lambda: serving.node.inbound.admission.in_flight == 5)
     other.node.inbound.admission.drain_deadline_ms = 0.0
     await reopen(mesh, other)
-    silence(serving)
+    suspend_links(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
     restore_answers(serving)
     serving.node.inbound.begin_shutdown(0.0)
--- a/tests/test_mesh_downloads.py
+++ b/tests/test_mesh_downloads.py
@@ -8,9 +8,9 @@
 from standins.signing_server import Received, signed
 
 from .fixtures_mesh import MeshFleet
-from .test_mesh_faults import eventually, silence
+from .test_mesh_faults import eventually, suspend_links
 
-HALF_A_MEGABYTE = 540_000
+LONG_ANSWER_BYTES = 540_000
 
 
 class PausingSink:
@@ -75,9 +75,9 @@
 
 async def test_answers_after_a_long_one_are_delivered(mesh: MeshFleet) -> None:
     for instance in mesh.instances:
-        instance.server.misbehave = long_answer
+        instance.server.answer_override = long_answer
     for index in range(12):
-        size = HALF_A_MEGABYTE if index % 2 == 0 else 300
+        size = LONG_ANSWER_BYTES if index % 2 == 0 else 300
         path = f"/read/{size}"
         caller = mesh.instances[index % 3]
         status, body = await mesh.get(caller, path, f"d{index}")
@@ -90,10 +90,10 @@
     mesh: MeshFleet, kept: int
 ) -> None:
     for instance in mesh.instances:
-        instance.server.misbehave = lambda received: long_answer(received)[:kept]
+        instance.server.answer_override = lambda received: long_answer(received)[:kept]
     reader, writer = await asyncio.open_connection(mesh.instances[0].host, 7101)
     writer.write(
-        f"GET /read/{HALF_A_MEGABYTE} HTTP/1.1\r\nHost: shop.example\r\n"
+        f"GET /read/{LONG_ANSWER_BYTES} HTTP/1.1\r\nHost: shop.example\r\n"
         "Attempt-Id: c1\r\nDeadline-Milliseconds: 900\r\n\r\n".encode()
     )
     answer = b""
@@ -123,10 +123,10 @@
     task = asyncio.create_task(mesh.get(caller, "/read/1", "m1"))
     await eventually(lambda: any(one.server.runs["m1"] for one in servers))
     unresponsive = next(one for one in servers if one.server.runs["m1"])
-    silence(unresponsive)
+    suspend_links(unresponsive)
     await asyncio.sleep(0.35)
-    for server in list(unresponsive.node.incoming_links.links):
-        del server.write
+    for link in list(unresponsive.node.incoming_links.links):
+        del link.write
     assert (await task)[0] == 200
     return sum(one.server.runs["m1"] for one in servers)
 
@@ -155,7 +155,7 @@
         return signed(received, b"e" * 1_400_000, 500)
 
     for instance in mesh.instances:
-        instance.server.misbehave = fail_once
+        instance.server.answer_override = fail_once
     asking = mesh.instances[2]
     assert await mesh.get(asking, "/read/1", "e1") == (200, b"hello")
     await eventually(
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -42,7 +42,7 @@
 
 async def test_payment_at_a_crashing_server_runs_once(mesh: MeshFleet) -> None:
     for instance in mesh.instances:
-        instance.server.misbehave = lambda received: None
+        instance.server.answer_override = lambda received: None
     assert await pay(mesh, mesh.instances[0], "k1") == 502
     assert sum(item.server.runs["k1"] for item in mesh.instances) == 1
 
@@ -50,7 +50,7 @@
 async def test_read_at_a_crashing_server_is_retried_within_its_attempts(
     mesh: MeshFleet,
 ) -> None:
-    mesh.instances[0].server.misbehave = lambda received: None
+    mesh.instances[0].server.answer_override = lambda received: None
     statuses = [
         (await mesh.get(mesh.instances[0], "/read/1", f"t{index}"))[0]
         for index in range(5)
@@ -71,10 +71,12 @@
     )
 
 
-@pytest.mark.parametrize("misbehave", [extra_answer, trailing_bytes])
-async def test_bytes_of_other_answers_reach_nobody(mesh: MeshFleet, misbehave) -> None:  # type: ignore[no-untyped-def]
+@pytest.mark.parametrize("answer_override", [extra_answer, trailing_bytes])
+async def test_bytes_of_other_answers_reach_nobody(  # type: ignore[no-untyped-def]
+    mesh: MeshFleet, answer_override
+) -> None:
     for instance in mesh.instances:
-        instance.server.misbehave = misbehave
+        instance.server.answer_override = answer_override
     for index in range(12):
         answer = await mesh.get(mesh.instances[0], "/read/1", f"x{index}")
         assert answer == (200, b"right")
@@ -88,10 +90,12 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfake"
 
 
-@pytest.mark.parametrize("misbehave", [cut_short, unsigned])
-async def test_malformed_answer_never_looks_whole(mesh: MeshFleet, misbehave) -> None:  # type: ignore[no-untyped-def]
+@pytest.mark.parametrize("answer_override", [cut_short, unsigned])
+async def test_malformed_answer_never_looks_whole(  # type: ignore[no-untyped-def]
+    mesh: MeshFleet, answer_override
+) -> None:
     for instance in mesh.instances:
-        instance.server.misbehave = misbehave
+        instance.server.answer_override = answer_override
     status, body = await mesh.get(mesh.instances[0], "/read/1", "u1", 600)
     assert status in (502, 504)
     assert body == b""
@@ -181,7 +185,7 @@
     assert [status for status, _ in await asyncio.gather(*calls)] == [200] * 4
 
 
-def silence(instance: MeshInstance) -> None:
+def suspend_links(instance: MeshInstance) -> None:
     """Drop what a node sends to its peers; it still receives."""
     for link in list(instance.node.incoming_links.links):
         link.write = lambda data: None  # type: ignore[method-assign]
@@ -191,7 +195,7 @@
     caller, silent, healthy = mesh.instances
     await caller.beat(mesh.session, "draining")
     await asyncio.sleep(0.05)
-    silence(silent)
+    suspend_links(silent)
     statuses = await asyncio.gather(
         *(pay(mesh, caller, f"c{index}") for index in range(6))
     )
@@ -207,7 +211,7 @@
     caller, silent, _ = mesh.instances
     await caller.beat(mesh.session, "draining")
     await asyncio.sleep(0.05)
-    silence(silent)
+    suspend_links(silent)
     loop = asyncio.get_running_loop()
     began = loop.time()
     answers = await asyncio.gather(
--- a/tests/test_mesh_health.py
+++ b/tests/test_mesh_health.py
@@ -9,7 +9,7 @@
 from azurestep.mesh.decisions.health import Health
 from standins.signing_server import Received, signed
 
-from .fixtures_inbound import Beside, Listener
+from .fixtures_inbound import InboundHarness, RecordingReceiver
 from .fixtures_mesh import MeshFleet
 
 TICKS_IN_3_S = 30
@@ -57,31 +57,31 @@
     assert choose_endpoint([failing, other], criteria, set(), 0.0, random) is failing
 
 
-def withdraw_after(beside: Beside, pause_ms: float) -> float:
+def withdraw_after(harness: InboundHarness, pause_ms: float) -> float:
     """Withdraw a run with 1200 ms to its deadline; return the failure ratio."""
-    listener = Listener()
-    run = beside.submit(listener, 1200.0)
-    beside.loop.run_due()
-    beside.loop.now_ms += pause_ms
+    receiver = RecordingReceiver()
+    run = harness.submit(receiver, 1200.0)
+    harness.loop.run_due()
+    harness.loop.now_ms += pause_ms
     run.withdraw()
-    assert listener.outcomes == ["failed TIMEOUT"]
-    return beside.inbound.health.failure_ratio
+    assert receiver.outcomes == ["failed TIMEOUT"]
+    return harness.inbound.health.failure_ratio
 
 
 def test_a_run_withdrawn_before_its_deadline_is_no_failure(
-    beside: Beside,
+    harness: InboundHarness,
 ) -> None:
-    beside.inbound.admission.record_run("read", 700.0)
-    assert withdraw_after(beside, 600.0) == 0.0
-    assert beside.inbound.admission.mean_run_ms("read") == 700.0
+    harness.inbound.admission.record_run("read", 700.0)
+    assert withdraw_after(harness, 600.0) == 0.0
+    assert harness.inbound.admission.mean_run_ms("read") == 700.0
 
 
 @pytest.mark.parametrize("pause_ms", [1150.0, 1200.0])
 def test_a_run_withdrawn_at_its_deadline_is_a_failure(
-    beside: Beside, pause_ms: float
+    harness: InboundHarness, pause_ms: float
 ) -> None:
-    assert withdraw_after(beside, pause_ms) > 0.0
-    assert beside.inbound.admission.mean_run_ms("read") == pause_ms
+    assert withdraw_after(harness, pause_ms) > 0.0
+    assert harness.inbound.admission.mean_run_ms("read") == pause_ms
 
 
 def answer_500(received: Received) -> bytes:
@@ -92,7 +92,7 @@
     mesh: MeshFleet,
 ) -> None:
     failing_server = mesh.instances[0].server
-    failing_server.misbehave = answer_500
+    failing_server.answer_override = answer_500
     for index in range(20):
         await mesh.get(mesh.instances[index % 3], "/read/1", f"r{index}")
     async with asyncio.timeout(2):
@@ -124,7 +124,7 @@
     mesh: MeshFleet, status: int
 ) -> None:
     instance = mesh.instances[0]
-    instance.server.misbehave = lambda received: signed(received, b"", status)
+    instance.server.answer_override = lambda received: signed(received, b"", status)
     for index in range(6):
         await mesh.get(instance, "/read/1", f"s{index}")
     assert instance.node.inbound.health.failure_ratio == 0.0
--- a/tests/test_mesh_queue.py
+++ b/tests/test_mesh_queue.py
@@ -6,70 +6,79 @@
 
 from azurestep.http.client import ClientConnection
 
-from .fixtures_inbound import Beside, Listener, answer, make_beside
+from .fixtures_inbound import (
+    InboundHarness,
+    RecordingReceiver,
+    answer,
+    make_inbound_harness,
+)
 
 SHORT_MS = 1.0
 LONG_MS = 500_000.0
 MANY = 400
 
 
-def submit_waiting(beside: Beside, count: int, remaining_ms: float) -> list[Listener]:
+def submit_waiting(
+    harness: InboundHarness, count: int, remaining_ms: float
+) -> list[RecordingReceiver]:
     """Submit requests that wait behind the running ones."""
-    listeners = [Listener() for _ in range(count)]
-    for listener in listeners:
-        beside.submit(listener, remaining_ms)
-    beside.loop.run_due()
-    assert not any(listener.outcomes for listener in listeners)
-    return listeners
+    receivers = [RecordingReceiver() for _ in range(count)]
+    for receiver in receivers:
+        harness.submit(receiver, remaining_ms)
+    harness.loop.run_due()
+    assert not any(receiver.outcomes for receiver in receivers)
+    return receivers
 
 
 def test_a_leaving_server_refuses_a_long_queue() -> None:
     """Guards against recursion through the queue."""
-    beside = make_beside(slots=1)
-    beside.inbound.admission.record_run("read", SHORT_MS)
-    first = beside.submit(Listener(), LONG_MS)
-    waiting = submit_waiting(beside, MANY, LONG_MS)
-    beside.leave()
+    harness = make_inbound_harness(slots=1)
+    harness.inbound.admission.record_run("read", SHORT_MS)
+    first = harness.submit(RecordingReceiver(), LONG_MS)
+    waiting = submit_waiting(harness, MANY, LONG_MS)
+    harness.leave()
     answer(first)
-    beside.loop.run_due()
+    harness.loop.run_due()
     assert [one.outcomes for one in waiting] == [["LEAVING"]] * MANY
-    assert beside.inbound.admission.in_flight == 0
-    assert not beside.inbound.busy
+    assert harness.inbound.admission.in_flight == 0
+    assert not harness.inbound.busy
 
 
-def test_cancelling_all_requests_of_a_lost_link_starts_none(beside: Beside) -> None:
-    runs = [beside.submit(Listener()) for _ in range(8)]
-    beside.loop.run_due()
-    beside.inbound.return_connection(ClientConnection())
+def test_cancelling_all_requests_of_a_lost_link_starts_none(
+    harness: InboundHarness,
+) -> None:
+    runs = [harness.submit(RecordingReceiver()) for _ in range(8)]
+    harness.loop.run_due()
+    harness.inbound.return_connection(ClientConnection())
     assert [run.may_have_run for run in runs] == [True] * 4 + [False] * 4
     for run in runs:
         run.cancel()
-    beside.loop.run_due()
+    harness.loop.run_due()
     assert [run.may_have_run for run in runs] == [True] * 4 + [False] * 4
-    assert beside.inbound.admission.in_flight == 0
+    assert harness.inbound.admission.in_flight == 0
 
 
 def test_a_request_that_ends_while_others_are_refused_has_one_outcome(
-    beside: Beside,
+    harness: InboundHarness,
 ) -> None:
-    answered = Listener()
+    answered = RecordingReceiver()
     first, *others = [
-        beside.submit(one, 5000.0) for one in (answered, *[Listener()] * 3)
+        harness.submit(one, 5000.0) for one in (answered, *[RecordingReceiver()] * 3)
     ]
-    listeners = [Listener() for _ in range(3)]
-    late = [beside.submit(one) for one in listeners]
-    beside.loop.run_due()
+    receivers = [RecordingReceiver() for _ in range(3)]
+    late = [harness.submit(one) for one in receivers]
+    harness.loop.run_due()
 
     def end_another(event: str) -> None:
         late[1].cancel()
         raise RuntimeError("a receiver fails")
 
-    listeners[0].react = end_another
-    beside.inbound.admission.record_run("read", 30_000.0)
+    receivers[0].react = end_another
+    harness.inbound.admission.record_run("read", 30_000.0)
     answer(first)
-    beside.loop.run_due()
-    beside.after(100.0)
+    harness.loop.run_due()
+    harness.after(100.0)
     assert answered.outcomes == ["answer"]
-    assert [one.outcomes for one in listeners] == [["TOO_LATE"], [], ["TOO_LATE"]]
+    assert [one.outcomes for one in receivers] == [["TOO_LATE"], [], ["TOO_LATE"]]
     assert [run.done for run in others] == [False] * 3
-    assert beside.inbound.admission.in_flight == 3
+    assert harness.inbound.admission.in_flight == 3
--- a/tests/test_mesh_queue_properties.py
+++ b/tests/test_mesh_queue_properties.py
@@ -19,13 +19,13 @@
 from azurestep.platform.announcement import Heartbeat
 
 from .fixtures_inbound import (
-    BEAT,
     DRAIN_MS,
-    Beside,
-    Listener,
-    OpenRuntime,
+    HEARTBEAT,
+    ErrorRecordingRuntime,
+    InboundHarness,
+    RecordingReceiver,
     answer,
-    make_beside,
+    make_inbound_harness,
 )
 
 SLOTS = 3
@@ -54,7 +54,7 @@
         Event at which its receiver failed.
     """
 
-    listener: Listener
+    listener: RecordingReceiver
     run: Run | None = None
     cancelled: bool = False
     raised: bool = False
@@ -75,7 +75,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.beside: Beside = make_beside(SLOTS, OpenRuntime)
+        self.beside: InboundHarness = make_inbound_harness(SLOTS, ErrorRecordingRuntime)
         self.sent: list[Sent] = []
         self.failures = 0
         self.heartbeats = 1
@@ -103,7 +103,7 @@
     def submit(
         self, budget_ms: float, bulk: bool, held: bool, reaction: str, other: int
     ) -> None:
-        sent = Sent(Listener())
+        sent = Sent(RecordingReceiver())
         self.sent.append(sent)
         if reaction != "none":
             sent.listener.react = self.once(sent, reaction, other)
@@ -176,7 +176,7 @@
     def announce_as(self, leaving: bool) -> None:
         self.heartbeats += 1
         beat: Heartbeat = attrs.evolve(
-            BEAT, sequence=self.heartbeats, slots=SLOTS, leaving=leaving
+            HEARTBEAT, sequence=self.heartbeats, slots=SLOTS, leaving=leaving
         )
         now_ms = self.beside.loop.now_ms - DRAIN_MS
         self.beside.inbound.backend.apply_heartbeat(beat, now_ms)
@@ -290,7 +290,7 @@
     @invariant()
     def only_receivers_failed(self) -> None:
         runtime = self.beside.inbound.runtime
-        assert isinstance(runtime, OpenRuntime)
+        assert isinstance(runtime, ErrorRecordingRuntime)
         for error in runtime.errors:
             assert isinstance(error, ReceiverError), error
 
--- a/tests/test_mesh_refusals.py
+++ b/tests/test_mesh_refusals.py
@@ -5,7 +5,7 @@
 import pytest
 
 from .fixtures_mesh import MeshFleet, MeshInstance
-from .test_mesh_faults import eventually, pay, silence
+from .test_mesh_faults import eventually, pay, suspend_links
 
 
 async def only(mesh: MeshFleet, serving: MeshInstance) -> None:
@@ -64,7 +64,7 @@
     began_s = loop.time()
     task = asyncio.create_task(read(mesh, mesh.instances[1], "s1"))
     await eventually(lambda: serving.server.runs["s1"] == 1)
-    silence(serving)
+    suspend_links(serving)
     assert await task in (502, 504)
     assert loop.time() - began_s < 1.45
 
@@ -89,7 +89,7 @@
     serving.server.work_s = 1.0
     task = asyncio.create_task(read(mesh, mesh.instances[1], "g1"))
     await eventually(lambda: serving.server.runs["g1"] == 1)
-    silence(serving)
+    suspend_links(serving)
     await asyncio.sleep(0.85)
     for link in list(serving.node.incoming_links.links):
         vars(link).pop("write", None)
--- a/tests/test_mesh_restart.py
+++ b/tests/test_mesh_restart.py
@@ -10,7 +10,7 @@
 
 from .fixtures_mesh import MeshFleet, MeshInstance
 
-BEAT = Heartbeat("i-1", "shop", 7, 4, False, 0.0)
+HEARTBEAT = Heartbeat("i-1", "shop", 7, 4, False, 0.0)
 DRAIN_MS = 2000.0
 
 
@@ -47,21 +47,23 @@
 def test_heartbeat_overrides_a_probe() -> None:
     backend = LocalBackend(DRAIN_MS)
     assert backend.discover("i-1", "shop", 4)
-    backend.apply_heartbeat(attrs.evolve(BEAT, slots=9, cold_remaining_ms=500.0), 10.0)
+    backend.apply_heartbeat(
+        attrs.evolve(HEARTBEAT, slots=9, cold_remaining_ms=500.0), 10.0
+    )
     assert backend.slots == 9
     assert backend.cold_remaining_ms(10.0) == 500.0
 
 
 def test_probe_does_not_override_a_heartbeat() -> None:
     backend = LocalBackend(DRAIN_MS)
-    backend.apply_heartbeat(BEAT, 0.0)
+    backend.apply_heartbeat(HEARTBEAT, 0.0)
     assert not backend.discover("i-2", "shop", 4)
     assert backend.instance_id == "i-1"
 
 
 @pytest.mark.parametrize(
     "notice",
-    [attrs.evolve(BEAT, leaving=True), LeavingNotice("i-1")],
+    [attrs.evolve(HEARTBEAT, leaving=True), LeavingNotice("i-1")],
     ids=["beat", "end"],
 )
 def test_server_first_seen_leaving_gets_no_requests(
@@ -72,7 +74,7 @@
         backend.apply_heartbeat(notice, 100.0)
     else:
         backend.apply_leaving(notice, 100.0)
-    backend.apply_heartbeat(attrs.evolve(BEAT, sequence=8), 110.0)
+    backend.apply_heartbeat(attrs.evolve(HEARTBEAT, sequence=8), 110.0)
     assert not backend.discover("i-1", "shop", 4)
     assert not backend.admits(120.0)
 
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -61,7 +61,7 @@
     assert caller_headers("r1")["Attempt-Id"] == "r1"
 
 
-class Overload:
+class OverloadSimulation:
     """Callers with up to two retries, at 1.5 times the capacity of one server."""
 
     SLOTS, RUN_MS, OBJECTIVE_MS, DEADLINE_MS = 13, 63.0, 200.0, 1200.0
@@ -75,7 +75,7 @@
         self.returning = ReturningCallers()
         self.number = 0
 
-    def play(self, load: float = 1.5, seconds: float = 30.0) -> Counter[str]:
+    def run_simulation(self, load: float = 1.5, seconds: float = 30.0) -> Counter[str]:
         at_ms, gap_ms = 0.0, self.RUN_MS / self.SLOTS / load
         while at_ms < seconds * 1000:
             self.add(at_ms, (at_ms, 0))
@@ -85,14 +85,14 @@
             if isinstance(what, Ticket):
                 self.end(what, now_ms)
             else:
-                self.ask(now_ms, *what)  # type: ignore[misc]
+                self.send_attempt(now_ms, *what)  # type: ignore[misc]
         return self.outcomes
 
     def add(self, at_ms: float, what: object) -> None:
         self.number += 1
         heapq.heappush(self.events, (at_ms, self.number, what))
 
-    def ask(self, now_ms: float, created_ms: float, retries: int) -> None:
+    def send_attempt(self, now_ms: float, created_ms: float, retries: int) -> None:
         for ticket in remove_late(self.admission, now_ms):
             self.refused(now_ms, ticket.owner, 40.0)  # type: ignore[arg-type]
         request_key = (b"%f" % created_ms,)
@@ -134,17 +134,19 @@
             self.run(started, now_ms)
 
 
-def credit(outcomes: Counter[str]) -> float:
+def mean_value(outcomes: Counter[str]) -> float:
     """Return the mean value of the answers, with 0.3 for a late one."""
     return (outcomes["in time"] + 0.3 * outcomes["late"]) / outcomes.total()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_more_answers_are_in_time_when_retries_are_recognised(seed: int) -> None:
-    unrecognised = Overload(recognises_retries=False, seed=seed).play()
-    recognised = Overload(recognises_retries=True, seed=seed).play()
-    print(unrecognised, credit(unrecognised), recognised, credit(recognised))
-    assert credit(recognised) > credit(unrecognised) + 0.05
+    unrecognised = OverloadSimulation(
+        recognises_retries=False, seed=seed
+    ).run_simulation()
+    recognised = OverloadSimulation(recognises_retries=True, seed=seed).run_simulation()
+    print(unrecognised, mean_value(unrecognised), recognised, mean_value(recognised))
+    assert mean_value(recognised) > mean_value(unrecognised) + 0.05
     served = recognised["in time"] + recognised["late"]
     assert served > 0.95 * (unrecognised["in time"] + unrecognised["late"])
 
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -14,7 +14,7 @@
 from azurestep.platform.topics import CONFIGURATION_KEY, OPERATOR_TOPIC
 from standins.signing_server import signed
 
-from .fixtures_inbound import Listener
+from .fixtures_inbound import RecordingReceiver
 from .fixtures_mesh import (
     CALLER_PORT,
     MeshFleet,
@@ -29,7 +29,7 @@
 
 LONG_MS = 9000
 """Longer than a shutdown."""
-CUT = 0
+NO_ANSWER = 0
 """Stands for a status where the connection ended without an answer."""
 
 
@@ -49,7 +49,7 @@
 
 
 @pytest_asyncio.fixture
-async def patient(mesh: MeshFleet) -> MeshFleet:
+async def long_route_mesh(mesh: MeshFleet) -> MeshFleet:
     """Run the fleet with a route whose requests may be long."""
     mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, long_document(8))
     await eventually(
@@ -62,7 +62,7 @@
     try:
         return (await mesh.get(instance, "/read/1", name, LONG_MS))[0]
     except ClientError:
-        return CUT
+        return NO_ANSWER
 
 
 async def stop(instance: MeshInstance) -> None:
@@ -75,13 +75,15 @@
 
 @pytest.mark.parametrize("asked", [0, 1])
 async def test_requests_that_outlast_the_shutdown_are_answered(
-    patient: MeshFleet, asked: int
+    long_route_mesh: MeshFleet, asked: int
 ) -> None:
-    serving, stopping = patient.instances[0], patient.instances[asked]
-    await only(patient, serving)
+    serving, stopping = long_route_mesh.instances[0], long_route_mesh.instances[asked]
+    await only(long_route_mesh, serving)
     serving.server.work_s = 8.5
     names = [f"w{index}" for index in range(8)]
-    calls = [asyncio.create_task(read(patient, stopping, name)) for name in names]
+    calls = [
+        asyncio.create_task(read(long_route_mesh, stopping, name)) for name in names
+    ]
     await asyncio.sleep(0.1)
     await stop(stopping)
     statuses = await asyncio.gather(*calls)
@@ -91,25 +93,29 @@
 
 
 async def test_a_run_that_ends_in_time_is_not_aborted(
-    patient: MeshFleet,
+    long_route_mesh: MeshFleet,
 ) -> None:
-    serving, stopping = patient.instances[:2]
-    await only(patient, serving)
+    serving, stopping = long_route_mesh.instances[:2]
+    await only(long_route_mesh, serving)
     serving.server.work_s = 5.0
-    calls = [asyncio.create_task(read(patient, stopping, f"r{i}")) for i in range(3)]
+    calls = [
+        asyncio.create_task(read(long_route_mesh, stopping, f"r{i}")) for i in range(3)
+    ]
     await asyncio.sleep(0.1)
     await stop(stopping)
     assert await asyncio.gather(*calls) == [200] * 3
 
 
 async def test_the_shutdown_of_a_peer_is_no_failure_of_the_server(
-    patient: MeshFleet,
+    long_route_mesh: MeshFleet,
 ) -> None:
-    serving, stopping = patient.instances[:2]
-    await only(patient, serving)
+    serving, stopping = long_route_mesh.instances[:2]
+    await only(long_route_mesh, serving)
     serving.server.work_s = 8.5
     names = [f"w{index}" for index in range(4)]
-    calls = [asyncio.create_task(read(patient, stopping, name)) for name in names]
+    calls = [
+        asyncio.create_task(read(long_route_mesh, stopping, name)) for name in names
+    ]
     await asyncio.sleep(0.1)
     await stop(stopping)
     assert await asyncio.gather(*calls) == [504] * 4
@@ -117,12 +123,12 @@
 
 
 async def test_a_request_during_the_shutdown_has_time_until_the_drain_deadline(
-    patient: MeshFleet,
+    long_route_mesh: MeshFleet,
 ) -> None:
-    serving, stopping = patient.instances[:2]
-    await only(patient, serving)
+    serving, stopping = long_route_mesh.instances[:2]
+    await only(long_route_mesh, serving)
     stopping.node.stop()
-    assert await read(patient, stopping, "late-1") == 200
+    assert await read(long_route_mesh, stopping, "late-1") == 200
     left_ms = float(serving.server.received[-1].headers["deadline-milliseconds"])
     plan = stopping.node.shutdown.plan
     assert plan is not None
@@ -164,7 +170,7 @@
 ) -> None:
     body = b"x" * 4_000_000
     for instance in mesh.instances:
-        instance.server.misbehave = lambda received: signed(received, body)
+        instance.server.answer_override = lambda received: signed(received, body)
     stopping = mesh.instances[0]
     loop = asyncio.get_running_loop()
     with slow_caller() as caller:
@@ -184,19 +190,19 @@
 
 
 async def test_the_node_exits_after_its_answers_to_peers_are_sent(
-    patient: MeshFleet,
+    long_route_mesh: MeshFleet,
 ) -> None:
-    serving, asking = patient.instances[:2]
-    await only(patient, serving)
+    serving, asking = long_route_mesh.instances[:2]
+    await only(long_route_mesh, serving)
     body = b"x" * 240_000
-    serving.server.misbehave = lambda received: signed(received, body)
+    serving.server.answer_override = lambda received: signed(received, body)
     link = asking.node.members.links[serving.node.settings.peer_address]
     assert link.connection is not None
     transport = link.connection._transport
     assert transport is not None
     transport.pause_reading()
     calls = [
-        asyncio.create_task(patient.get(asking, "/read/1", f"o{index}", 9000))
+        asyncio.create_task(long_route_mesh.get(asking, "/read/1", f"o{index}", 9000))
         for index in range(40)
     ]
     await eventually(lambda: len(serving.server.arrivals) >= 46)
@@ -214,16 +220,16 @@
 
 
 async def test_waiting_requests_are_retried_elsewhere_at_once(
-    patient: MeshFleet,
+    long_route_mesh: MeshFleet,
 ) -> None:
-    stopping, other, asking = patient.instances
-    await only(patient, stopping)
+    stopping, other, asking = long_route_mesh.instances
+    await only(long_route_mesh, stopping)
     set_mean_run_ms(stopping, 4500)
     stopping.server.work_s = 4.5
     names = [f"q{index}" for index in range(8)]
-    calls = [asyncio.create_task(read(patient, asking, name)) for name in names]
+    calls = [asyncio.create_task(read(long_route_mesh, asking, name)) for name in names]
     await eventually(lambda: stopping.node.inbound.admission.in_flight == len(names))
-    await reopen(patient, other)
+    await reopen(long_route_mesh, other)
     stopping.node.stop()
     done, _ = await asyncio.wait(calls, timeout=1.0)
     assert [call.result() for call in done] == [200] * 4
@@ -255,12 +261,12 @@
 
 
 async def test_calls_aborted_by_the_exit_are_logged(
-    patient: MeshFleet, mesh_lines: MeshLines
+    long_route_mesh: MeshFleet, mesh_lines: MeshLines
 ) -> None:
-    stopping = patient.instances[0]
+    stopping = long_route_mesh.instances[0]
     body = b"x" * 24_000_000
-    for instance in patient.instances:
-        instance.server.misbehave = lambda received: signed(received, body)
+    for instance in long_route_mesh.instances:
+        instance.server.answer_override = lambda received: signed(received, body)
     loop = asyncio.get_running_loop()
     with slow_caller() as caller:
         await loop.sock_connect(caller, (stopping.host, CALLER_PORT))
@@ -282,7 +288,7 @@
     ended = asyncio.create_task(stop(serving))
     await asyncio.wait_for(serving.node._stopped.wait(), 5)
     link = asking.node.members.links[serving.node.settings.peer_address]
-    listener = Listener()
+    listener = RecordingReceiver()
     now_ms = asking.node.runtime.now_ms()
     request = payment("late-1", link.endpoint.incarnation, now_ms)
     assert link.send(request, listener) is not None  # type: ignore[arg-type]
@@ -319,11 +325,11 @@
     mesh: MeshFleet,
 ) -> None:
     incoming_links = mesh.instances[0].node.incoming_links
-    server = next(iter(incoming_links.links))
-    server._transport = FullTransport()  # type: ignore[assignment]
+    link = next(iter(incoming_links.links))
+    link._transport = FullTransport()  # type: ignore[assignment]
     incoming_links.broadcast_state()
     assert not incoming_links.has_unsent_outcomes
-    OutcomeForwarder(server, 1).on_refusal(Refusal(Reason.STOPPING, 0, 0.0))
+    OutcomeForwarder(link, 1).on_refusal(Refusal(Reason.STOPPING, 0, 0.0))
     assert incoming_links.has_unsent_outcomes
 
 
--- a/tests/test_mesh_stopping_uploads.py
+++ b/tests/test_mesh_stopping_uploads.py
@@ -11,9 +11,9 @@
 from azurestep.platform.topics import CONFIGURATION_KEY, OPERATOR_TOPIC
 
 from .fixtures_mesh import MeshFleet, MeshInstance, caller_headers, document
-from .test_mesh_faults import eventually, silence
+from .test_mesh_faults import eventually, suspend_links
 from .test_mesh_refusals import only
-from .test_mesh_stopping import CUT, LONG_MS, stop
+from .test_mesh_stopping import LONG_MS, NO_ANSWER, stop
 
 BODY = b"u" * 60_000
 NAMES = [f"u{index}" for index in range(10)]
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Stage:
+class UploadScenario:
     """A fleet with one open server, whose runs outlast a shutdown."""
 
     mesh: MeshFleet
@@ -54,11 +54,11 @@
                 await answer.read()
                 return answer.status
         except ClientError:
-            return CUT
+            return NO_ANSWER
 
     def check(self, statuses: list[int]) -> None:
         """Check the outcome of each upload."""
-        assert CUT not in statuses
+        assert NO_ANSWER not in statuses
         for name, status in zip(NAMES, statuses, strict=True):
             runs = sum(item.server.runs[name] for item in self.mesh.instances)
             assert runs <= (0 if status == NOT_RUN else 1)
@@ -66,7 +66,7 @@
 
 
 @pytest_asyncio.fixture
-async def stage(mesh: MeshFleet) -> Stage:
+async def scenario(mesh: MeshFleet) -> UploadScenario:
     """Open one server, with runs of 8.5 s."""
     content = document(8, routes=long_routes())
     mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, content)
@@ -76,36 +76,36 @@
     serving, asked = mesh.instances[:2]
     await only(mesh, serving)
     serving.server.work_s = 8.5
-    return Stage(mesh, serving, asked)
+    return UploadScenario(mesh, serving, asked)
 
 
-async def do_nothing(stage: Stage) -> None:
+async def do_nothing(scenario: UploadScenario) -> None:
     """Leave the shutdown without another event."""
 
 
-async def send_second_signal(stage: Stage) -> None:
-    stage.asked.node.stop()
+async def send_second_signal(scenario: UploadScenario) -> None:
+    scenario.asked.node.stop()
 
 
-async def publish_version(stage: Stage) -> None:
-    stage.asked.node.reload()
+async def publish_version(scenario: UploadScenario) -> None:
+    scenario.asked.node.reload()
     content = document(9, routes=long_routes())
-    stage.mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, content)
+    scenario.mesh.store.put(OPERATOR_TOPIC, CONFIGURATION_KEY, content)
 
 
-async def reset_link(stage: Stage) -> None:
+async def reset_link(scenario: UploadScenario) -> None:
     await asyncio.sleep(0.9)
-    for server in list(stage.serving.node.incoming_links.links):
-        server.abort()
+    for link in list(scenario.serving.node.incoming_links.links):
+        link.abort()
 
 
-async def silence_link(stage: Stage) -> None:
+async def suspend_link(scenario: UploadScenario) -> None:
     await asyncio.sleep(0.9)
-    silence(stage.serving)
+    suspend_links(scenario.serving)
 
 
-async def stop_both(stage: Stage) -> None:
-    await stop(stage.serving)
+async def stop_both(scenario: UploadScenario) -> None:
+    await stop(scenario.serving)
 
 
 @pytest.mark.parametrize(
@@ -115,34 +115,37 @@
         send_second_signal,
         publish_version,
         reset_link,
-        silence_link,
+        suspend_link,
         stop_both,
     ],
 )
 async def test_uploads_before_a_shutdown_are_all_answered(
-    stage: Stage, concurrent_event: Callable[[Stage], Awaitable[None]]
+    scenario: UploadScenario,
+    concurrent_event: Callable[[UploadScenario], Awaitable[None]],
 ) -> None:
-    calls = [asyncio.create_task(stage.upload(name)) for name in NAMES]
+    calls = [asyncio.create_task(scenario.upload(name)) for name in NAMES]
     await asyncio.sleep(0.1)
-    await asyncio.gather(stop(stage.asked), concurrent_event(stage))
-    stage.check(await asyncio.gather(*calls))
+    await asyncio.gather(stop(scenario.asked), concurrent_event(scenario))
+    scenario.check(await asyncio.gather(*calls))
 
 
 async def test_uploads_at_the_node_of_the_server_are_all_answered(
-    stage: Stage,
+    scenario: UploadScenario,
 ) -> None:
-    stage = attrs.evolve(stage, asked=stage.serving)
-    calls = [asyncio.create_task(stage.upload(name)) for name in NAMES]
+    scenario = attrs.evolve(scenario, asked=scenario.serving)
+    calls = [asyncio.create_task(scenario.upload(name)) for name in NAMES]
     await asyncio.sleep(0.1)
-    await stop(stage.asked)
-    stage.check(await asyncio.gather(*calls))
+    await stop(scenario.asked)
+    scenario.check(await asyncio.gather(*calls))
 
 
-async def test_uploads_during_a_shutdown_are_all_answered(stage: Stage) -> None:
-    ended = asyncio.create_task(stop(stage.asked))
+async def test_uploads_during_a_shutdown_are_all_answered(
+    scenario: UploadScenario,
+) -> None:
+    ended = asyncio.create_task(stop(scenario.asked))
     calls = []
     for name in NAMES:
         await asyncio.sleep(0.2)
-        calls.append(asyncio.create_task(stage.upload(name)))
+        calls.append(asyncio.create_task(scenario.upload(name)))
     await ended
-    stage.check(await asyncio.gather(*calls))
+    scenario.check(await asyncio.gather(*calls))
