--- a/azurestep/mesh/backend/contained.py
+++ b/azurestep/mesh/backend/contained.py
@@ -1,4 +1,4 @@
-"""Steps of several requests, each of which may fail without the others."""
+"""Runs a step of a request so that an error in it ends only that request."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -14,7 +14,7 @@
 def run_guarded(
     request: HandlesFaults, step: Callable[..., None], *arguments: object
 ) -> None:
-    """Run a step of a request; an error ends that request and reaches no other."""
+    """Run a step of a request; an error ends that request and is not raised."""
     try:
         step(*arguments)
     except Exception as error:
--- a/azurestep/mesh/backend/crashes.py
+++ b/azurestep/mesh/backend/crashes.py
@@ -1,8 +1,8 @@
 """Quarantine of requests that crash backend servers.
 
-The local node knows which requests were in flight when its backend server died, and
-reports them to all nodes. A request that was in flight at several deaths is refused, as
-``quarantine`` decides.
+The local node knows which requests were in flight when its backend server crashed,
+and reports them to all nodes. A request that was in flight at several crashes is
+refused, as ``quarantine`` decides.
 """
 
 import zlib
@@ -88,7 +88,7 @@
             )
 
     def record_answered(self, request: Request, now_ms: float) -> None:
-        """Record that a backend server survived a request."""
+        """Record that a backend server answered a request."""
         table = self._tables.get(request.service)
         if table is not None and table.active:
             key = self._key(request.incarnation)
@@ -97,7 +97,7 @@
     def record_crash(
         self, service: str, incarnation: Incarnation, now_ms: float
     ) -> None:
-        """Record that the local backend server died, and publish the updates."""
+        """Record that the local backend server crashed, and publish the updates."""
         table = self._tables.get(service)
         if table is None:
             return
@@ -134,5 +134,6 @@
         )
 
     def _key(self, incarnation: Incarnation) -> EndpointKey:
+        """Return a key of the host and a hash of the incarnation's id and start."""
         name = b"%b@%d" % (incarnation.instance_id, incarnation.started_ms)
         return EndpointKey(self.host, 0, zlib.crc32(name))
--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -1,7 +1,7 @@
 """Requests to the local backend server: admission, runs and answers.
 
 All requests to the backend server pass here, so a refusal is final: the request has not
-reached the backend server and never will.
+run and will not.
 """
 
 import asyncio
@@ -30,9 +30,10 @@
 MAX_IDLE_MS = 8000.0
 """Idle time after which a connection is closed, before the backend server does it."""
 IDLE_CLOSE_WINDOW_MS = 30.0
-"""A reused connection that ends this soon after a request was closed while idle.
+"""Time after sending a request on a reused connection, to detect idle closes.
 
-The backend server had closed it before the request arrived.
+If the connection ends within this time, the backend server is assumed to have closed it
+while it was idle.
 """
 RECONNECT_INTERVAL_MS = 300.0
 """Time between attempts to reach a backend server that refuses connections."""
@@ -40,7 +41,9 @@
 
 @attrs.define(eq=False)
 class Inbound:
-    """Runs requests at the local backend server.
+    """Admits requests to the local backend server and runs them.
+
+    The counterpart of ``Outbound``, which accepts the requests of callers.
 
     Attributes
     ----------
@@ -88,7 +91,7 @@
         return Reason.STOPPING if self.shutting_down else Reason.TOO_LATE
 
     def begin_shutdown(self, drain_deadline_ms: float) -> None:
-        """Serve only what can end by the deadline; other nodes choose other servers."""
+        """Stop taking new requests, and refuse what can't end by the deadline."""
         self.shutting_down = True
         self.admission.drain_deadline_ms = drain_deadline_ms
         self._schedule_scan()
@@ -138,7 +141,7 @@
     def release(self, ticket: Ticket) -> None:
         """Remove a run and schedule a scan of the queue.
 
-        Its ticket leaves the queue first, since the scan expects a run for each ticket.
+        The ticket is removed first, since the scan expects a run for each ticket.
         """
         self.admission.remove(ticket)
         self._runs.pop(ticket, None)
@@ -161,7 +164,7 @@
             self.runtime.call_soon(self._scan_queue)
 
     def _scan_queue(self) -> None:
-        """Refuse late requests, then hand out free slots and transfers.
+        """Refuse requests that can't end in time, then assign slots and transfers.
 
         Also done between ticks, since the deadline of a short request may pass earlier.
         """
@@ -181,7 +184,7 @@
     def _refuse(self, tickets: list[Ticket], reason: Reason) -> None:
         """Refuse waiting requests.
 
-        The receiver of one may end another meanwhile.
+        Each is looked up again, since the receiver of a refusal may end other requests.
         """
         for ticket in tickets:
             run = self._runs.get(ticket)
@@ -235,10 +238,11 @@
     def record_connection_loss(
         self, request: Request, connection: ClientConnection, sent_ms: float
     ) -> None:
-        """Record that a connection ended under a request, before any answer.
+        """Record that a connection ended during a request, before any answer.
 
-        A backend server that dies ends all its connections; after the last one a
-        connection attempt shows whether it is alive. If it is, no request is blamed.
+        A backend server that crashes ends all its connections. After the last one a
+        connection attempt shows whether it still runs; if so, no request is recorded as
+        the cause of a crash.
         """
         self._next_reconnect_ms = 0.0
         self.crashes.record_connection_loss(request, self.now_ms())
--- a/azurestep/mesh/backend/interfaces.py
+++ b/azurestep/mesh/backend/interfaces.py
@@ -1,4 +1,4 @@
-"""Protocols between a run and its surroundings."""
+"""Protocols between a run, the receiver of its outcome and the inbound path."""
 
 from typing import Protocol
 
@@ -19,7 +19,7 @@
         """Handle the answer, or its head and first bytes."""
 
     def on_answer_data(self, data: bytes, whole: bool) -> None:
-        """Handle more of the answer."""
+        """Handle a part of the body; ``whole``: the body ends with it."""
 
     def on_refusal(self, refusal: Refusal) -> None:
         """Handle a refusal: the request has not run and will not."""
@@ -28,10 +28,10 @@
         """Handle a failure: no complete answer comes."""
 
     def on_credit(self, size: int) -> None:
-        """Handle that ``size`` bytes of the request's body were consumed."""
+        """Handle the consumption of ``size`` bytes of the request's body."""
 
     def on_slot_ready(self) -> None:
-        """Handle that a request that needs confirmation has a slot."""
+        """Confirm or cancel a request, which now has a slot."""
 
 
 class RunHost(Protocol):
@@ -66,12 +66,12 @@
         """End the transfer of a body; calls no receiver."""
 
     def record_run(self, failed: bool) -> None:
-        """Count a run that ended."""
+        """Count a run that ended in the failure ratio."""
 
     def record_connection_loss(
         self, request: Request, connection: ClientConnection, sent_ms: float
     ) -> None:
-        """Record that a connection ended under a request, before any answer."""
+        """Record that a connection ended during a request, before any answer."""
 
     def handle_replaced_instance(self, request: Request, instance_id: str) -> None:
         """Handle an answer of another incarnation."""
--- a/azurestep/mesh/backend/probing.py
+++ b/azurestep/mesh/backend/probing.py
@@ -20,10 +20,10 @@
 SEARCH_TIMEOUT_MS = 3000.0
 """Time after the start in which a restarted node searches for its backend server.
 
-Covers two heartbeats; a server without one by then is gone.
+Covers two heartbeats; a server without one by then has ended.
 """
 DEFAULT_SLOTS = 4
-"""Slots of a backend server found by a probe, until its heartbeat names them."""
+"""Slots of a backend server found by a probe, until its first heartbeat."""
 MIN_PROBE_INTERVAL_MS = 300.0
 OK = 200
 
--- a/azurestep/mesh/backend/request_bytes.py
+++ b/azurestep/mesh/backend/request_bytes.py
@@ -16,7 +16,7 @@
     content : bytes
         Available part of the body.
     whole : bool
-        Whether that is the complete body.
+        Whether the body ends with this part.
     remaining_ms : float
         Time after which the backend server stops work.
     """
@@ -38,7 +38,10 @@
 
 
 def encode_body_part(request: Request, data: bytes, whole: bool) -> bytes:
-    """Return a part of the body, chunked if its length is unknown."""
+    """Return a part of the body, chunked if its length is unknown.
+
+    ``whole`` tells whether the body ends with this part.
+    """
     if request.length >= 0:
         return data
     chunk = b"%x\r\n%b\r\n" % (len(data), data) if data else b""
--- a/azurestep/mesh/backend/run.py
+++ b/azurestep/mesh/backend/run.py
@@ -1,4 +1,4 @@
-"""One request at the local backend server."""
+"""Execution of one request at the local backend server, from admission to outcome."""
 
 from collections.abc import Callable
 
@@ -21,8 +21,8 @@
 MAX_IDLE_UNSAFE_MS = 2000.0
 """Idle time up to which a connection may carry a request that must not run twice.
 
-Backend servers close connections idle for longer; a request that crosses the close
-may have run.
+Backend servers close connections that are idle for longer. If a request is sent while
+the server closes the connection, it is unknown whether it ran.
 """
 ABORT_DELAY_MS = 150.0
 """Time past the deadline after which a run is aborted.
@@ -30,17 +30,20 @@
 The backend server stops by itself at the deadline.
 """
 MAX_DEADLINE_SKEW_MS = 100.0
-"""Longest transit time by which a caller's deadline may precede the one known here."""
+"""Longest time by which a sender's deadline may be earlier than the local one.
+
+The difference is the transit time of the request.
+"""
 CONFIRMATION_TIMEOUT_MS = 400.0
 """Longest time that a request holds a slot without confirmation.
 
-Exceeds the time after which a sender gives up an unresponsive link.
+Exceeds the time after which a sender abandons an unresponsive link.
 """
 TRANSFER_TIMEOUT_MS = 450.0
 """Longest time for the transfer of a body.
 
-Enough for the largest body on a link of 10 Mbit/s; longer, unresponsive senders would
-block the transfers of others.
+Enough for the largest body on a link of 10 Mbit/s. With a longer limit, unresponsive
+senders would block the transfers of others.
 """
 FIRST_NON_SUCCESS_STATUS = 300
 BAD_REQUEST = 400
@@ -49,7 +52,7 @@
 
 
 class Run:
-    """One request on its way to the local backend server."""
+    """A request at the local backend server, from its admission to its outcome."""
 
     def __init__(
         self, inbound: RunHost, request: Request, receiver: AnswerReceiver
@@ -99,7 +102,7 @@
         self._send_credit(len(data))
 
     def proceed(self) -> None:
-        """Run a request that needed confirmation."""
+        """Handle the sender's confirmation: send the request once its body is here."""
         if self._needs_confirmation:
             self._needs_confirmation = False
             if self.done or not self._confirmation_asked_ms:
@@ -109,7 +112,7 @@
             self.start()
 
     def cancel(self) -> None:
-        """Abort the request without an outcome; nobody waits for it."""
+        """Abort the request without an outcome; the sender has dropped it."""
         if self.done:
             return
         if self._sent_ms:
@@ -131,8 +134,8 @@
     def withdraw(self) -> None:
         """Abort the request and report whether it may have run.
 
-        A sender that shuts down withdraws requests before their deadlines; that is no
-        failure of the backend server.
+        A sender that shuts down withdraws requests before their deadlines, which
+        doesn't count as a failure of the backend server.
         """
         if self.may_have_run:
             overdue = self.inbound.now_ms() >= self.deadline_ms - MAX_DEADLINE_SKEW_MS
@@ -141,7 +144,7 @@
             self.refuse(Reason.TOO_LATE)
 
     def add_credit(self, size: int) -> None:
-        """Handle that the receiver consumed bytes of the answer."""
+        """Let the backend server send more after the receiver consumed bytes."""
         self._answer_bytes_in_transit -= size
         if (
             self._answer_bytes_in_transit < FLOW_WINDOW_BYTES
@@ -177,8 +180,8 @@
     def _is_too_late(self) -> bool:
         """Whether a request that could end in time can't any more.
 
-        One that never could is tried, unless this node is shutting down: only runs
-        correct a mean run time that is too long.
+        A request that never could runs anyway, unless the node is shutting down:
+        without new samples an overestimated mean run time would never fall.
         """
         inbound = self.inbound
         in_time = inbound.admission.can_end_in_time(self.ticket, inbound.now_ms())
@@ -193,7 +196,7 @@
         self.request_body()
 
     def request_body(self) -> None:
-        """Ask the sender to confirm the request and to send a long body."""
+        """Ask the sender to confirm the request and to send a large body."""
         self._confirmation_asked_ms = self.inbound.now_ms()
         self.receiver.on_slot_ready()
 
@@ -245,7 +248,7 @@
     # Called by the connection to the backend server.
 
     def on_writable(self) -> None:
-        """Send the sender more credit."""
+        """Send pending credit to the sender."""
         self._send_credit(0)
 
     def on_head(self, status: int, headers: Headers) -> bool:
@@ -280,6 +283,7 @@
         fields = self._partial.fields
         if connection is not None and reusable and fields is not None:
             if fields.keep_alive_ms is not None:
+                # Closes the connection before the backend server's timeout does.
                 connection.idle_limit_ms = max(0.0, fields.keep_alive_ms - 1000) * 0.9
             self.inbound.return_connection(connection)
         if self._streaming:
@@ -410,7 +414,7 @@
     def fail(self, reason: Reason, counts_as_failure: bool = True) -> None:
         """Report that the request may have run.
 
-        ``counts_as_failure`` counts against the server.
+        ``counts_as_failure`` adds it to the failure ratio of the backend server.
         """
         if self.done:
             return
--- a/azurestep/mesh/backend/state.py
+++ b/azurestep/mesh/backend/state.py
@@ -13,9 +13,9 @@
 DRAIN_ADMIT_RATIO = 0.5
 """Part of the drain time in which requests in transit are still admitted."""
 LEAVING_SINCE_UNKNOWN_MS = float("-inf")
-"""Start of the drain of an incarnation that this process never saw serving.
+"""Leaving time assumed for an incarnation that was leaving when first seen.
 
-The previous process of the node may have acknowledged the leaving long ago.
+Its drain time may be over, so it admits no requests.
 """
 
 
@@ -62,7 +62,7 @@
 
 @attrs.define(slots=True)
 class LocalBackend:
-    """The local backend server as it announced itself.
+    """The backend server of the same instance, as it announced itself.
 
     Attributes
     ----------
@@ -149,7 +149,10 @@
         return True
 
     def confirm_instance(self, instance_id: str, now_ms: float) -> None:
-        """Update the state by the incarnation that an answer came from."""
+        """Make the incarnation that answered the current one.
+
+        Requests are refused until its heartbeat has arrived.
+        """
         record = self._records.get(instance_id)
         if not instance_id or (record is not None and record.ended):
             return
--- a/azurestep/mesh/backend/transfers.py
+++ b/azurestep/mesh/backend/transfers.py
@@ -1,4 +1,4 @@
-"""Transfers of long request bodies, limited so that links stay responsive."""
+"""Transfers of large request bodies, limited so that links stay responsive."""
 
 from collections import deque
 from typing import Protocol
@@ -15,7 +15,7 @@
 
 
 class BodyTransfer(HandlesFaults, Protocol):
-    """A request whose body is sent on demand."""
+    """A request whose body the sender sends when asked."""
 
     def request_body(self) -> None:
         """Ask the sender for the body."""
--- a/azurestep/mesh/decisions/__init__.py
+++ b/azurestep/mesh/decisions/__init__.py
@@ -1,1 +1,4 @@
-"""Decisions under load: placement, admission, shedding, retries, health. Pure."""
+"""Decisions under load: selection, admission, shedding, retries, health.
+
+No I/O and no clock: times are passed in.
+"""
--- a/azurestep/mesh/decisions/admission.py
+++ b/azurestep/mesh/decisions/admission.py
@@ -1,7 +1,7 @@
 """Admission control for one backend server: a request runs, waits or is refused.
 
-Pure: times go in, decisions come out. The local node is the only sender to its backend
-server, so it counts the occupied slots itself.
+The local node is the only sender to its backend server, so it counts the occupied slots
+itself.
 """
 
 import math
@@ -23,9 +23,11 @@
     Attributes
     ----------
     objective_deadline_ms : float
-        When the answer loses its full value.
+        When the answer begins to lose value.
     deadline_ms : float
         When the caller gives up.
+    owner : object
+        Data of the code that submits the request; not used here.
     """
 
     route: str
@@ -144,7 +146,7 @@
         """Return the waiting requests that can't end in time.
 
         During a shutdown the work ahead of a request counts too, so that another node
-        can serve it at once. Work of requests that are returned doesn't count.
+        can serve it at once. The work of requests in the result doesn't count.
         """
         if self.drain_deadline_ms == math.inf:
             return [
@@ -187,8 +189,8 @@
         """Return the sort key of a waiting request.
 
         Requests that can meet their objective go first, then the more urgent priority,
-        then the earlier objective. Calls of backend servers have the shortest ones: a
-        call that fails wastes the run that made it.
+        then the earlier objective. Calls between services have the shortest objectives
+        and so go first within a priority; refusing one wastes the calling run.
         """
         misses_objective = (
             now_ms + self.mean_run_ms(ticket.route) > ticket.objective_deadline_ms
--- a/azurestep/mesh/decisions/cadence.py
+++ b/azurestep/mesh/decisions/cadence.py
@@ -1,7 +1,8 @@
-"""Intervals between probes and load reports, by the number of nodes. Pure.
+"""Intervals between probes and load reports, by the number of nodes.
 
-Every node is linked to every other one, so at fixed intervals the traffic grows with
-the square of the fleet. Each node therefore has a total rate, shared by its links.
+Every node is linked to every other one, so with fixed intervals the traffic would
+grow with the square of the fleet. Each node therefore has a total rate, shared by
+its links.
 """
 
 import attrs
@@ -14,7 +15,7 @@
 REMOTE_REPORTS_PER_S = 20.0
 """Load reports to remote data centres together; this traffic is charged."""
 MIN_REPORT_INTERVAL_MS = 200.0
-"""The interval at which the load is sampled."""
+"""Load reports are not sent more often than this."""
 
 
 def idle_probe_interval_ms(links: int) -> float:
@@ -48,7 +49,7 @@
     _last_report_ms: float = float("-inf")
 
     def mark_sent_if_due(self, report: bytes, links: int, now_ms: float) -> bool:
-        """Whether a report has changed and may be sent; it then counts as sent."""
+        """Record a report as sent if it has changed and is due; return whether."""
         if report == self._last_report:
             return False
         if now_ms - self._last_report_ms < report_interval_ms(links, self.per_s):
--- a/azurestep/mesh/decisions/choice.py
+++ b/azurestep/mesh/decisions/choice.py
@@ -1,4 +1,8 @@
-"""Selection of the backend server for a request. Pure."""
+"""Selection of the backend server for a request.
+
+The value of an answer is 1 well before its objective and falls towards 0 after it;
+penalties are in the same unit.
+"""
 
 from collections.abc import Iterable
 from random import Random
@@ -12,10 +16,10 @@
 RUN_MEAN_WEIGHT = 0.1
 """Weight of a new sample in the mean over all backend servers."""
 MAX_UNSAMPLED = 8
-"""Number of backend servers up to which all are compared.
+"""With more backend servers than this, a random sample is compared.
 
-Load reports are rarer in larger fleets; there, nodes that compared all servers would
-choose the same one.
+Load reports are rarer in larger fleets; nodes that compared all servers by the same old
+reports would all choose the same one.
 """
 LOCAL_SAMPLE = 4
 REMOTE_SAMPLE = 2
@@ -32,7 +36,7 @@
 COLD_RUN_FACTOR = 2.0
 """How much slower a backend server is during its cold start."""
 FAILURE_PENALTY = 1.0
-"""Value lost at a backend server all of whose runs fail: that of an answer."""
+"""Value lost at a failure ratio of 1."""
 MAX_TIE_BREAK = 0.01
 """Random part of a value, so that nodes with the same reports choose differently."""
 
@@ -54,11 +58,12 @@
     cold_until_ms : float
         When its cold start ends.
     failed_until_ms : float
-        Until when it is only a last resort, after a failure.
+        Time until which it is chosen only if no other is available, after a failure.
     failure_ratio : float
         Ratio of its recent runs that failed, from 0 to 1.
     unresponsive : bool
-        Whether its node owes an answer to a probe; it is then only a last resort.
+        Whether a probe of its node is overdue; it is then chosen only if no other is
+        available.
     """
 
     key: object
@@ -138,7 +143,10 @@
         return self._mean_ms.get(route, INITIAL_RUN_MS)
 
     def get_or_zero(self, route: str) -> float:
-        """Return the mean of a route, or 0 before the first answer."""
+        """Return the mean of a route, or 0 before the first answer.
+
+        Sent with requests, where 0 stands for an unknown mean.
+        """
         return self._mean_ms.get(route, 0.0)
 
     def record_run(self, route: str, run_ms: float) -> None:
@@ -183,6 +191,7 @@
 def _expected_value(
     endpoint: Endpoint, criteria: SelectionCriteria, now_ms: float
 ) -> float:
+    """Return the value of an answer at its expected time, less the penalties."""
     run_ms = endpoint.mean_run_ms.get(criteria.route, criteria.fleet_mean_run_ms)
     if now_ms < endpoint.cold_until_ms:
         run_ms *= COLD_RUN_FACTOR
@@ -193,7 +202,7 @@
     value -= FAILURE_PENALTY * endpoint.failure_ratio
     value -= LOAD_PENALTY * (load / endpoint.slots) ** 2
     if now_ms < endpoint.failed_until_ms or endpoint.unresponsive:
-        value -= 1.0
+        value -= 1.0  # as much as the highest value of an answer
     if endpoint.data_centre != criteria.data_centre:
         value -= REMOTE_PENALTY_PER_KIB * criteria.size_kib
     return value
--- a/azurestep/mesh/decisions/health.py
+++ b/azurestep/mesh/decisions/health.py
@@ -1,4 +1,4 @@
-"""Failure ratio of a backend server, from the outcomes of its runs. Pure.
+"""Failure ratio of a backend server, from the outcomes of its runs.
 
 Health probes may succeed at a server that fails every request, and fail at one that
 serves. So the local node counts failed runs and reports their ratio to all nodes, which
@@ -10,7 +10,7 @@
 TICK_DECAY = 0.9
 """Factor of the counts at each tick of 0.1 s."""
 PRIOR_SUCCESSES = 2.0
-"""Successful runs assumed, so that one failure doesn't close a quiet server."""
+"""Successful runs assumed, so that one failure among few runs gives no high ratio."""
 REPORT_STEP = 0.1
 """The ratio is rounded to this, so that small changes cause no messages."""
 
--- a/azurestep/mesh/decisions/pressure.py
+++ b/azurestep/mesh/decisions/pressure.py
@@ -1,12 +1,12 @@
-"""Load shedding at the first node on behalf of the services that a request calls. Pure.
+"""Load shedding at the node that receives a request, for the services that it calls.
 
 A backend server's run may call another service. If that service is overloaded, refusing
 its calls wastes the runs that made them, and serving them all starves its other
-callers. So nodes report which ratio of each route's requests they refuse, and refuse
+clients. So nodes report which ratio of each route's requests they refuse, and refuse
 the same ratio of the less urgent requests to the calling service before these run.
 
 The local node of the called server detects such routes: their requests come from
-instances of a single service, while those of callers come from all instances.
+instances of a single service, while those of external clients come from all instances.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,11 +14,12 @@
 import attrs
 
 MIN_ROUTE_REQUESTS = 60
-"""Requests of a route that are counted before it can be taken for calls."""
+"""Requests counted before a route can be classified as called by a service."""
 MIN_CALLER_RATIO = 0.95
 """Ratio of a route's requests that must come from the calling service.
 
-Below 1, since an instance that changes its service mislabels some requests.
+Below 1, since an instance that changes its service sends some requests under
+its former service.
 """
 MAX_ROUTE_REQUESTS = 600
 """Count of requests at which all counts of a route are halved."""
@@ -34,7 +35,7 @@
 CallingService = tuple[str, int]
 """A service that calls the local one, and the priority of its calls."""
 RefusalRatio = tuple[str, int, float]
-"""Service, priority, and the ratio of a route's requests that was refused."""
+"""Service, priority, and the ratio of a route's requests that were refused."""
 
 
 class CallerDetector:
--- a/azurestep/mesh/decisions/retry_budget.py
+++ b/azurestep/mesh/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: how often nodes may send a request to a second backend server. Pure.
+"""Retry budget: how often nodes may send a request to a second backend server.
 
 The budget holds for all nodes together: a ratio of a service's requests and a fixed
 number in each window. Each node uses an equal part of the number and the ratio of its
@@ -10,7 +10,7 @@
 USED_RETRY_RATIO = 0.5
 """Part of the allowed ratio that is used.
 
-Calls made by retried runs count at the services they reach; the rest is left for them.
+The rest is left for the calls that retried requests make to other services.
 """
 USED_EXTRA_RATIO = 0.5
 """Part of the fixed number that is used, for the same reason."""
@@ -50,7 +50,7 @@
         self._tokens[service] = min(max_tokens, tokens + self.ratio * USED_RETRY_RATIO)
 
     def try_spend(self, service: str, now_ms: float) -> bool:
-        """Whether a retry is allowed now; it then spends a token."""
+        """Spend a token for a retry if there is one; return whether."""
         max_tokens = self._max_tokens()
         since_ms = now_ms - self._refilled_ms.get(service, now_ms)
         self._refilled_ms[service] = now_ms
--- a/azurestep/mesh/decisions/returning.py
+++ b/azurestep/mesh/decisions/returning.py
@@ -1,7 +1,7 @@
-"""Recognition of client retries, whose objective counts from the first attempt. Pure.
+"""Recognition of client retries, whose objective counts from the first attempt.
 
-Callers that were refused retry. Treated as new requests, late retries would push other
-requests past their objectives too.
+Callers that were refused retry. If a retry got a new objective, it would be queued
+ahead of requests that can still meet theirs.
 
 A caller keeps its deadline when it retries, so a retry is matched by its request key
 and deadline. A retry at another node counts as a new request.
@@ -27,11 +27,11 @@
     request_key : tuple of bytes
         Method, host and target of the request.
     first_attempt_ms : float
-        When the caller first asked, as far as known.
+        When the caller's first attempt arrived, as far as known.
     deadline_ms : float
         When the caller gives up.
     is_retry : bool
-        Whether the caller is known to have asked before.
+        Whether an earlier attempt of the caller is known.
     """
 
     request_key: tuple[bytes, ...]
@@ -67,7 +67,7 @@
     def pop_first_attempt_ms(
         self, request_key: tuple[bytes, ...], now_ms: float, deadline_ms: float
     ) -> float:
-        """Return when the caller of an attempt that arrives now first asked."""
+        """Return when the first attempt arrived, and remove the matched attempt."""
         attempts = self._attempts.get(request_key)
         if attempts is None:
             return now_ms
--- a/azurestep/mesh/decisions/sizes.py
+++ b/azurestep/mesh/decisions/sizes.py
@@ -1,4 +1,4 @@
-"""Mean size of each route's answers. Pure.
+"""Mean size of each route's answers.
 
 Traffic between data centres is charged by the byte, so long answers should come from
 the local data centre even where short ones may be served by a remote one.
--- a/azurestep/mesh/decisions/stopping.py
+++ b/azurestep/mesh/decisions/stopping.py
@@ -1,19 +1,21 @@
-"""Deadlines of a graceful shutdown. Pure."""
+"""Deadlines of a graceful shutdown."""
 
 import attrs
 
 REFUSE_DELAY_MS = 2300.0
 """Time from SIGTERM until new requests are refused.
 
-Leaves callers the time for two readiness checks, one second apart. Unlimited, callers
-without another node would keep the node busy until it is killed.
+Long enough for callers to see two failed readiness checks, one second apart. Later
+requests are refused, since callers without another node would keep this one busy until
+SIGKILL.
 """
 EXIT_MARGIN_MS = 400.0
 """Time between the exit of the node and SIGKILL."""
 DRAIN_MARGIN_MS = 300.0
 """Time between the drain deadline and the exit.
 
-Covers the question whether a request ran, one tick, and the sending of the answers.
+Time to ask the serving node whether a request ran, for one tick, and to send the
+answers.
 """
 UNINTERRUPTED_RATIO = 5 / 6
 """Part of the grace time in which no run is aborted."""
--- a/tests/fixtures_inbound.py
+++ b/tests/fixtures_inbound.py
@@ -57,7 +57,7 @@
 
 @attrs.define(eq=False)
 class ErrorRecordingRuntime(ManualRuntime):
-    """Records contained faults, and lets tests see the errors of callbacks."""
+    """Records internal errors, and lets those of callbacks reach the test."""
 
     errors: list[BaseException] = attrs.field(factory=list)
 
@@ -166,7 +166,7 @@
         return self.inbound.submit(request, receiver)
 
     def leave(self) -> None:
-        """Let the server leave, long enough ago to admit nothing."""
+        """Announce leaving and advance the clock past the drain time."""
         leaving = attrs.evolve(HEARTBEAT, sequence=2, leaving=True)
         self.inbound.backend.apply_heartbeat(leaving, self.loop.now_ms)
         self.loop.now_ms += DRAIN_MS
--- a/tests/test_lines_faults.py
+++ b/tests/test_lines_faults.py
@@ -97,7 +97,7 @@
     Written(source).save(capfd)
     status, shown = run("faults", str(source))
     assert status == ExitStatus.ERROR
-    assert "KeyError('a fault of our own')" in shown
+    assert "KeyError('injected fault')" in shown
     assert "in on_answer" in shown or "in faulty" in shown
     _, explained = run("explain", FAULTY.decode(), str(source))
     assert "a fault of the program came" in explained
--- a/tests/test_mesh_admission.py
+++ b/tests/test_mesh_admission.py
@@ -173,6 +173,8 @@
 def refusal_delays_ms(load: float, seconds: float = 20.0) -> list[float]:
     """Return how long each refused request was queued, under lasting overload.
 
+    The time is 0 for a request refused on arrival.
+
     Half of the requests arrive past their objective, but before their deadline.
     """
     random = Random(5)
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -1,4 +1,4 @@
-"""Traffic between nodes stays bounded as the fleet grows."""
+"""Probes, load reports and configuration pushes between nodes stay bounded."""
 
 import asyncio
 import time
--- a/tests/test_mesh_containment.py
+++ b/tests/test_mesh_containment.py
@@ -30,7 +30,7 @@
 
     def faulty(self: Any, *arguments: Any) -> Any:
         if request_id_of(self, *arguments) == FAULTY:
-            raise KeyError("a fault of our own")
+            raise KeyError("injected fault")
         return original(self, *arguments)
 
     monkeypatch.setattr(owner, method, faulty)
@@ -79,7 +79,7 @@
     faulty = asyncio.create_task(pay(mesh, caller, FAULTY.decode()))
     await asyncio.sleep(0.02)
     others = await asyncio.gather(
-        *(pay(mesh, caller, f"sound-{index}") for index in range(4))
+        *(pay(mesh, caller, f"healthy-{index}") for index in range(4))
     )
     return await faulty, list(others)
 
--- a/tests/test_mesh_containment_queue.py
+++ b/tests/test_mesh_containment_queue.py
@@ -29,7 +29,7 @@
 
     def raising(self: Any, *arguments: Any, **named: Any) -> Any:
         if faulty(self, *arguments):
-            raise KeyError("a fault of our own")
+            raise KeyError("injected fault")
         return original(self, *arguments, **named)
 
     with pytest.MonkeyPatch.context() as patch:
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -30,7 +30,7 @@
 LONG_MS = 9000
 """Longer than a shutdown."""
 NO_ANSWER = 0
-"""Stands for a status where the connection ended without an answer."""
+"""Used instead of a status where the connection ended without an answer."""
 
 
 def long_document(version: int, **read: object) -> bytes:
--- a/tests/test_mesh_stopping_uploads.py
+++ b/tests/test_mesh_stopping_uploads.py
@@ -80,7 +80,7 @@
 
 
 async def do_nothing(scenario: UploadScenario) -> None:
-    """Leave the shutdown without another event."""
+    """Add no concurrent event."""
 
 
 async def send_second_signal(scenario: UploadScenario) -> None:
--- a/tests/test_mesh_uploads.py
+++ b/tests/test_mesh_uploads.py
@@ -19,7 +19,7 @@
     """A request that waits for its body."""
 
     def request_body(self) -> None:
-        raise AssertionError("BodyTransfers only keeps the order")
+        raise AssertionError("BodyTransfers must not call request_body")
 
 
 @pytest.fixture
