--- a/tests/test_mesh_admission.py
+++ b/tests/test_mesh_admission.py
@@ -25,7 +25,7 @@
     return list(iter(lambda: admission.start_next(now_ms), None))
 
 
-def remove_late(admission: Admission, now_ms: float) -> list[Ticket]:
+def remove_expiring(admission: Admission, now_ms: float) -> list[Ticket]:
     """Remove the late requests and return them."""
     late = admission.find_expiring(now_ms)
     for one in late:
@@ -91,14 +91,14 @@
     assert end_request(admission, running, 20.0) == [call]
 
 
-def test_a_waiting_request_that_can_not_end_in_time_is_late() -> None:
+def test_a_waiting_request_that_can_not_end_in_time_expires() -> None:
     admission = Admission(slots=1)
     admission.record_run("read", 100.0)
     admission.admit(ticket(), 0.0)
     waiting = ticket()
     admission.admit(waiting, 0.0)
-    assert remove_late(admission, 1000.0) == []
-    assert remove_late(admission, 1101.0) == [waiting]
+    assert remove_expiring(admission, 1000.0) == []
+    assert remove_expiring(admission, 1101.0) == [waiting]
     assert admission.waiting == []
 
 
@@ -147,7 +147,7 @@
                 served[started.priority] += 1
                 end = end_ms + run_ms[started.priority]
                 heapq.heappush(ends, (end, id(started), started))
-        remove_late(admission, now_ms)
+        remove_expiring(admission, now_ms)
         priority = random.randrange(3)
         offered[priority] += 1
         new = ticket(priority, now_ms)
@@ -188,7 +188,7 @@
         while ends and ends[0][0] <= now_ms:
             end_ms, _, done = heapq.heappop(ends)
             delays_ms += [
-                end_ms - one.arrived_ms for one in remove_late(admission, end_ms)
+                end_ms - one.arrived_ms for one in remove_expiring(admission, end_ms)
             ]
             for started in end_request(admission, done, end_ms):
                 heapq.heappush(ends, (end_ms + 60.0, id(started), started))
@@ -217,7 +217,7 @@
     assert isinstance(refused, Refused)
 
 
-def test_requests_that_would_start_too_late_for_the_shutdown_are_late() -> None:
+def test_requests_that_would_start_too_late_for_the_shutdown_expire() -> None:
     admission = Admission(slots=1)
     admission.record_run("read", 500.0)
     first, second, third = (ticket(objective_ms=9000.0) for _ in range(3))
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -11,7 +11,7 @@
 from azurestep.mesh.decisions.returning import Attempt, ReturningCallers
 
 from .fixtures_mesh import MeshFleet, caller_headers
-from .test_mesh_admission import end_request, remove_late
+from .test_mesh_admission import end_request, remove_expiring
 
 REQUEST_KEY = (b"GET", b"shop.example", b"/read/1")
 
@@ -93,7 +93,7 @@
         heapq.heappush(self.events, (at_ms, self.number, what))
 
     def send_attempt(self, now_ms: float, created_ms: float, retries: int) -> None:
-        for ticket in remove_late(self.admission, now_ms):
+        for ticket in remove_expiring(self.admission, now_ms):
             self.refused(now_ms, ticket.owner, 40.0)  # type: ignore[arg-type]
         request_key = (b"%f" % created_ms,)
         deadline_ms = created_ms + self.DEADLINE_MS
