--- a/azurestep/mesh/backend/contained.py
+++ b/azurestep/mesh/backend/contained.py
@@ -1,10 +1,10 @@
-"""Steps of several requests, each of which may fail without the others."""
+"""Runs a step of a request so that an error in it ends only that request."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 
-class Faultable(Protocol):
+class HandlesFaults(Protocol):
     """A request that can end with an internal error."""
 
     def on_fault(self, error: Exception) -> None:
@@ -12,9 +12,9 @@
 
 
 def run_guarded(
-    request: Faultable, step: Callable[..., None], *arguments: object
+    request: HandlesFaults, step: Callable[..., None], *arguments: object
 ) -> None:
-    """Run a step of a request; an error ends that request and reaches no other."""
+    """Run a step of a request; an error ends that request and is not raised."""
     try:
         step(*arguments)
     except Exception as error:
--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -1,7 +1,7 @@
 """Requests to the local backend server: admission, runs and answers.
 
 All requests to the backend server pass here, so a refusal is final: the request has not
-reached the backend server and never will.
+run and will not.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 from .crashes import CrashTracker
 from .load import LoadSummary, tick_load
 from .run import AnswerReceiver, Run
-from .state import Backend
+from .state import LocalBackend
 from .transfers import BodyTransfer, BodyTransfers
 
 CONNECT_TIMEOUT_S = 1.0
@@ -30,9 +30,10 @@
 MAX_IDLE_MS = 8000.0
 """Idle time after which a connection is closed, before the backend server does it."""
 IDLE_CLOSE_WINDOW_MS = 30.0
-"""A reused connection that ends this soon after a request was closed while idle.
+"""Time after sending a request on a reused connection, to detect idle closes.
 
-The backend server had closed it before the request arrived.
+If the connection ends within this time, the backend server is assumed to have closed it
+while it was idle.
 """
 RECONNECT_INTERVAL_MS = 300.0
 """Time between attempts to reach a backend server that refuses connections."""
@@ -40,7 +41,9 @@
 
 @attrs.define(eq=False)
 class Inbound:
-    """Runs requests at the local backend server.
+    """Admits requests to the local backend server and runs them.
+
+    The counterpart of ``Outbound``, which accepts the requests of callers.
 
     Attributes
     ----------
@@ -50,7 +53,7 @@
 
     runtime: Runtime
     address: Address
-    backend: Backend
+    backend: LocalBackend
     on_change: Callable[[], None]
     crashes: CrashTracker
     admission: Admission = attrs.field(factory=Admission)
@@ -60,7 +63,7 @@
     health: Health = attrs.field(factory=Health)
     caller_detector: CallerDetector = attrs.field(factory=CallerDetector)
     unreachable: bool = False
-    stopping: bool = False
+    shutting_down: bool = False
     _runs: dict[Ticket, Run] = attrs.field(factory=dict)
     _next_reconnect_ms: float = 0.0
     _last_incarnation: Incarnation = NO_INCARNATION
@@ -73,7 +76,9 @@
     @property
     def open(self) -> bool:
         """Whether other nodes may choose the backend server."""
-        return self.backend.is_open() and not self.unreachable and not self.stopping
+        return (
+            self.backend.is_open() and not self.unreachable and not self.shutting_down
+        )
 
     @property
     def busy(self) -> bool:
@@ -83,11 +88,11 @@
     @property
     def late_reason(self) -> Reason:
         """Reason for the refusal of requests that can't end in time."""
-        return Reason.STOPPING if self.stopping else Reason.TOO_LATE
+        return Reason.STOPPING if self.shutting_down else Reason.TOO_LATE
 
-    def stop(self, drain_deadline_ms: float) -> None:
-        """Serve only what can end by the deadline; other nodes choose other servers."""
-        self.stopping = True
+    def begin_shutdown(self, drain_deadline_ms: float) -> None:
+        """Stop taking new requests, and refuse what can't end by the deadline."""
+        self.shutting_down = True
         self.admission.drain_deadline_ms = drain_deadline_ms
         self._schedule_scan()
 
@@ -112,14 +117,14 @@
             run.refuse(reason)
             return
         self.admission.slots = self.backend.slots
-        if request.mean_run_ms:
-            self.admission.set_fleet_mean(request.route, request.mean_run_ms)
+        if request.fleet_mean_run_ms:
+            self.admission.set_fleet_mean(request.route, request.fleet_mean_run_ms)
         self.caller_detector.record_request(
             request.route, request.priority, request.calling_service
         )
         decision = self.admission.admit(run.ticket, self.now_ms())
         if isinstance(decision, Refused):
-            run.refuse(Reason.STOPPING if self.stopping else Reason.OVERLOADED)
+            run.refuse(Reason.STOPPING if self.shutting_down else Reason.OVERLOADED)
         elif decision:
             run.start()
 
@@ -136,7 +141,7 @@
     def release(self, ticket: Ticket) -> None:
         """Remove a run and schedule a scan of the queue.
 
-        Its ticket leaves the queue first, since the scan expects a run for each ticket.
+        The ticket is removed first, since the scan expects a run for each ticket.
         """
         self.admission.remove(ticket)
         self._runs.pop(ticket, None)
@@ -159,13 +164,13 @@
             self.runtime.call_soon(self._scan_queue)
 
     def _scan_queue(self) -> None:
-        """Refuse late requests, then hand out free slots and transfers.
+        """Refuse requests that can't end in time, then assign slots and transfers.
 
         Also done between ticks, since the deadline of a short request may pass earlier.
         """
         self._scan_scheduled = False
         now_ms = self.now_ms()
-        self._refuse(self.admission.find_late(now_ms), self.late_reason)
+        self._refuse(self.admission.find_expiring(now_ms), self.late_reason)
         if not self.backend.admits(now_ms):
             self._refuse(self.admission.waiting, Reason.LEAVING)
         for waiting in self.transfers.waiting:
@@ -179,7 +184,7 @@
     def _refuse(self, tickets: list[Ticket], reason: Reason) -> None:
         """Refuse waiting requests.
 
-        The receiver of one may end another meanwhile.
+        Each is looked up again, since the receiver of a refusal may end other requests.
         """
         for ticket in tickets:
             run = self._runs.get(ticket)
@@ -219,7 +224,7 @@
             expected=request.instance_id,
             found=instance_id,
         )
-        self.backend.mark_gone(request.incarnation)
+        self.backend.mark_ended(request.incarnation)
         self.backend.confirm_instance(instance_id, self.now_ms())
         self.on_change()
 
@@ -233,13 +238,14 @@
     def record_connection_loss(
         self, request: Request, connection: ClientConnection, sent_ms: float
     ) -> None:
-        """Record that a connection ended under a request, before any answer.
+        """Record that a connection ended during a request, before any answer.
 
-        A backend server that dies ends all its connections; after the last one a
-        connection attempt shows whether it is alive. If it is, no request is blamed.
+        A backend server that crashes ends all its connections. After the last one a
+        connection attempt shows whether it still runs; if so, no request is recorded as
+        the cause of a crash.
         """
         self._next_reconnect_ms = 0.0
-        self.crashes.record_lost(request, self.now_ms())
+        self.crashes.record_connection_loss(request, self.now_ms())
         if len(self._runs) == 1:
             self.runtime.spawn(self._reconnect())
         if (
@@ -257,7 +263,7 @@
             trusted_ms=round(self.idle.reuse_limit_ms),
         )
 
-    def changed(self) -> None:
+    def apply_announcement(self) -> None:
         """Apply a new announcement of the backend server."""
         self.unreachable = False
         self.on_change()
@@ -289,7 +295,7 @@
         if not incarnation.matches(self._last_incarnation):
             self.health.clear()
             self.idle.reset_reuse_limit()
-            self.admission.forget()
+            self.admission.clear_run_times()
         self._last_incarnation = incarnation
         self.health.tick()
 
--- a/tests/test_mesh_cadence.py
+++ b/tests/test_mesh_cadence.py
@@ -1,4 +1,4 @@
-"""Traffic between nodes stays bounded as the fleet grows."""
+"""Probes, load reports and configuration pushes between nodes stay bounded."""
 
 import asyncio
 import time
@@ -36,7 +36,7 @@
     pacer = ReportPacer(per_s=40.0)
     seconds = 100
     sent = sum(
-        pacer.is_due(str(tick).encode(), links, tick * 100.0)
+        pacer.mark_sent_if_due(str(tick).encode(), links, tick * 100.0)
         for tick in range(seconds * 10)
     )
     assert (sent - 1) * links <= 40.0 * seconds
@@ -45,10 +45,10 @@
 
 def test_an_unchanged_report_is_not_sent() -> None:
     pacer = ReportPacer(per_s=40.0)
-    assert pacer.is_due(b"a", 2, 0.0)
-    assert not pacer.is_due(b"a", 2, 10_000.0)
-    assert not pacer.is_due(b"b", 2, 100.0)
-    assert pacer.is_due(b"b", 2, 500.0)
+    assert pacer.mark_sent_if_due(b"a", 2, 0.0)
+    assert not pacer.mark_sent_if_due(b"a", 2, 10_000.0)
+    assert not pacer.mark_sent_if_due(b"b", 2, 100.0)
+    assert pacer.mark_sent_if_due(b"b", 2, 500.0)
 
 
 @pytest.mark.parametrize("data", [b"", b"no zlib", compress(b"x" * 100)[:-3]])
@@ -68,8 +68,8 @@
     mesh: MeshFleet,
 ) -> None:
     leaving, other = mesh.instances[0], mesh.instances[1]
-    for server in (item.node.incoming_links for item in mesh.instances):
-        server.broadcast_state()
+    for links in (item.node.incoming_links for item in mesh.instances):
+        links.broadcast_state()
     await leaving.beat(mesh.session, "draining")
     async with asyncio.timeout(0.2):
         while sum(e.open for e in other.node.members.endpoints("shop")) == 3:
@@ -82,9 +82,9 @@
     reports: list[int] = []
     original = IncomingLinks._write
 
-    def counting(self: IncomingLinks, servers: set[IncomingLink], data: bytes) -> None:
-        reports.append(len(servers) if data[1] == Kind.STATE else 0)
-        original(self, servers, data)
+    def counting(self: IncomingLinks, links: set[IncomingLink], data: bytes) -> None:
+        reports.append(len(links) if data[1] == Kind.STATE else 0)
+        original(self, links, data)
 
     monkeypatch.setattr(IncomingLinks, "_write", counting)
     incoming_links = mesh.instances[0].node.incoming_links
--- a/tests/test_mesh_crashes.py
+++ b/tests/test_mesh_crashes.py
@@ -41,7 +41,7 @@
 
 
 def crash(tracker: CrashTracker, request: Request, now_ms: float) -> None:
-    tracker.record_lost(request, now_ms)
+    tracker.record_connection_loss(request, now_ms)
     tracker.record_crash("shop", request.incarnation, now_ms + 1)
 
 
@@ -59,7 +59,7 @@
     tracker: CrashTracker,
 ) -> None:
     for name in (b"i-1", b"i-2", b"i-3"):
-        tracker.record_lost(request(instance_id=name), 0.0)
+        tracker.record_connection_loss(request(instance_id=name), 0.0)
         tracker.record_alive("shop", Incarnation(name))
         tracker.record_crash("shop", Incarnation(name), 1.0)
     assert not tracker.is_quarantined(request(), 30.0)
@@ -87,17 +87,17 @@
     crashed: list[str] = []
 
     def poisoned(instance: MeshInstance):  # type: ignore[no-untyped-def]
-        def misbehave(received):  # type: ignore[no-untyped-def]
+        def answer_override(received):  # type: ignore[no-untyped-def]
             crashed.append(instance.host)
             stops.append(asyncio.ensure_future(instance.server.stop()))
 
-        return misbehave
+        return answer_override
 
     for index, instance in enumerate(mesh.instances):
         await mesh.get(instance, "/read/1", f"opens-a-connection-{index}")
     stops: list[asyncio.Future[None]] = []
     for instance in mesh.instances:
-        instance.server.misbehave = poisoned(instance)
+        instance.server.answer_override = poisoned(instance)
     status, _ = await mesh.get(mesh.instances[0], POISON, "x1")
     assert status == 502
     assert len(crashed) == 2
--- a/tests/test_mesh_queue_properties.py
+++ b/tests/test_mesh_queue_properties.py
@@ -19,13 +19,13 @@
 from azurestep.platform.announcement import Heartbeat
 
 from .fixtures_inbound import (
-    BEAT,
     DRAIN_MS,
-    Beside,
-    Listener,
-    OpenRuntime,
+    HEARTBEAT,
+    ErrorRecordingRuntime,
+    InboundHarness,
+    RecordingReceiver,
     answer,
-    make_beside,
+    make_inbound_harness,
 )
 
 SLOTS = 3
@@ -54,7 +54,7 @@
         Event at which its receiver failed.
     """
 
-    listener: Listener
+    listener: RecordingReceiver
     run: Run | None = None
     cancelled: bool = False
     raised: bool = False
@@ -75,7 +75,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.beside: Beside = make_beside(SLOTS, OpenRuntime)
+        self.beside: InboundHarness = make_inbound_harness(SLOTS, ErrorRecordingRuntime)
         self.sent: list[Sent] = []
         self.failures = 0
         self.heartbeats = 1
@@ -103,7 +103,7 @@
     def submit(
         self, budget_ms: float, bulk: bool, held: bool, reaction: str, other: int
     ) -> None:
-        sent = Sent(Listener())
+        sent = Sent(RecordingReceiver())
         self.sent.append(sent)
         if reaction != "none":
             sent.listener.react = self.once(sent, reaction, other)
@@ -145,7 +145,7 @@
             and run._confirmation_asked_ms
             and not run._needs_confirmation
         ):
-            run.body(BODY, True)
+            run.add_body(BODY, True)
 
     @rule(number=numbers)
     def serve(self, number: int) -> None:
@@ -161,8 +161,8 @@
 
     @rule(run_ms=st.sampled_from([1.0, 50.0, 300.0, 2000.0, 2000.0]))
     def learn(self, run_ms: float) -> None:
-        self.beside.inbound.admission.forget()
-        self.beside.inbound.admission.learn("read", run_ms)
+        self.beside.inbound.admission.clear_run_times()
+        self.beside.inbound.admission.record_run("read", run_ms)
 
     @rule()
     def announce(self) -> None:
@@ -176,7 +176,7 @@
     def announce_as(self, leaving: bool) -> None:
         self.heartbeats += 1
         beat: Heartbeat = attrs.evolve(
-            BEAT, sequence=self.heartbeats, slots=SLOTS, leaving=leaving
+            HEARTBEAT, sequence=self.heartbeats, slots=SLOTS, leaving=leaving
         )
         now_ms = self.beside.loop.now_ms - DRAIN_MS
         self.beside.inbound.backend.apply_heartbeat(beat, now_ms)
@@ -184,8 +184,8 @@
     @precondition(lambda self: len(self.sent) > MIN_SENT)
     @rule(left_ms=st.sampled_from([100.0, 600.0, 2500.0]))
     def stop(self, left_ms: float) -> None:
-        if not self.beside.inbound.stopping:
-            self.beside.inbound.stop(self.beside.loop.now_ms + left_ms)
+        if not self.beside.inbound.shutting_down:
+            self.beside.inbound.begin_shutdown(self.beside.loop.now_ms + left_ms)
 
     @rule()
     def take_one_turn(self) -> None:
@@ -206,7 +206,7 @@
             not transfers._waiting or len(transfers._active) == MAX_CONCURRENT_TRANSFERS
         )
         now_ms = self.beside.loop.now_ms
-        assert not admission.find_late(now_ms)
+        assert not admission.find_expiring(now_ms)
         for run in transfers.waiting:
             assert isinstance(run, Run)
             assert admission.can_end_in_time(run.ticket, now_ms)
@@ -290,7 +290,7 @@
     @invariant()
     def only_receivers_failed(self) -> None:
         runtime = self.beside.inbound.runtime
-        assert isinstance(runtime, OpenRuntime)
+        assert isinstance(runtime, ErrorRecordingRuntime)
         for error in runtime.errors:
             assert isinstance(error, ReceiverError), error
 
--- a/tests/test_mesh_returning.py
+++ b/tests/test_mesh_returning.py
@@ -11,7 +11,7 @@
 from azurestep.mesh.decisions.returning import Attempt, ReturningCallers
 
 from .fixtures_mesh import MeshFleet, caller_headers
-from .test_mesh_admission import end_request, remove_late
+from .test_mesh_admission import end_request, remove_expiring
 
 REQUEST_KEY = (b"GET", b"shop.example", b"/read/1")
 
@@ -25,23 +25,25 @@
     returning: ReturningCallers,
 ) -> None:
     returning.add(Attempt(REQUEST_KEY, 0.0, 1200.0))
-    assert returning.first_attempt_ms((b"GET", b"other", b"/"), 80.0, 1200.0) == 80.0
-    assert returning.first_attempt_ms(REQUEST_KEY, 80.0, 1280.0) == 80.0
-    assert returning.first_attempt_ms(REQUEST_KEY, 80.0, 1202.0) == 0.0
+    assert (
+        returning.pop_first_attempt_ms((b"GET", b"other", b"/"), 80.0, 1200.0) == 80.0
+    )
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 80.0, 1280.0) == 80.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 80.0, 1202.0) == 0.0
 
 
 def test_an_attempt_matches_one_retry(returning: ReturningCallers) -> None:
     returning.add(Attempt(REQUEST_KEY, 0.0, 1200.0))
-    assert returning.first_attempt_ms(REQUEST_KEY, 80.0, 1200.0) == 0.0
-    assert returning.first_attempt_ms(REQUEST_KEY, 90.0, 1200.0) == 90.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 80.0, 1200.0) == 0.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 90.0, 1200.0) == 90.0
 
 
 def test_attempts_past_their_deadline_expire(returning: ReturningCallers) -> None:
     returning.add(Attempt(REQUEST_KEY, 0.0, 1200.0))
     returning.add(Attempt(REQUEST_KEY, 500.0, 1700.0))
     returning.expire(1300.0)
-    assert returning.first_attempt_ms(REQUEST_KEY, 1300.0, 1200.0) == 1300.0
-    assert returning.first_attempt_ms(REQUEST_KEY, 1300.0, 1700.0) == 500.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 1300.0, 1200.0) == 1300.0
+    assert returning.pop_first_attempt_ms(REQUEST_KEY, 1300.0, 1700.0) == 500.0
 
 
 async def test_the_second_attempt_of_a_caller_counts_from_its_first(
@@ -54,12 +56,12 @@
     returning = asked.node.call_context.returning_callers
     now_ms = asked.node.runtime.now_ms()
     request_key = (b"GET", b"shop.example", b"/read/7")
-    found_ms = returning.first_attempt_ms(request_key, now_ms, now_ms + 895)
+    found_ms = returning.pop_first_attempt_ms(request_key, now_ms, now_ms + 895)
     assert 0 < now_ms - found_ms < 200
     assert caller_headers("r1")["Attempt-Id"] == "r1"
 
 
-class Overload:
+class OverloadSimulation:
     """Callers with up to two retries, at 1.5 times the capacity of one server."""
 
     SLOTS, RUN_MS, OBJECTIVE_MS, DEADLINE_MS = 13, 63.0, 200.0, 1200.0
@@ -73,7 +75,7 @@
         self.returning = ReturningCallers()
         self.number = 0
 
-    def play(self, load: float = 1.5, seconds: float = 30.0) -> Counter[str]:
+    def run_simulation(self, load: float = 1.5, seconds: float = 30.0) -> Counter[str]:
         at_ms, gap_ms = 0.0, self.RUN_MS / self.SLOTS / load
         while at_ms < seconds * 1000:
             self.add(at_ms, (at_ms, 0))
@@ -83,21 +85,21 @@
             if isinstance(what, Ticket):
                 self.end(what, now_ms)
             else:
-                self.ask(now_ms, *what)  # type: ignore[misc]
+                self.send_attempt(now_ms, *what)  # type: ignore[misc]
         return self.outcomes
 
     def add(self, at_ms: float, what: object) -> None:
         self.number += 1
         heapq.heappush(self.events, (at_ms, self.number, what))
 
-    def ask(self, now_ms: float, created_ms: float, retries: int) -> None:
-        for ticket in remove_late(self.admission, now_ms):
+    def send_attempt(self, now_ms: float, created_ms: float, retries: int) -> None:
+        for ticket in remove_expiring(self.admission, now_ms):
             self.refused(now_ms, ticket.owner, 40.0)  # type: ignore[arg-type]
         request_key = (b"%f" % created_ms,)
         deadline_ms = created_ms + self.DEADLINE_MS
         first_attempt_ms = now_ms
         if self.recognises_retries:
-            first_attempt_ms = self.returning.first_attempt_ms(
+            first_attempt_ms = self.returning.pop_first_attempt_ms(
                 request_key, now_ms, deadline_ms
             )
         objective_deadline_ms = first_attempt_ms + self.OBJECTIVE_MS
@@ -127,22 +129,24 @@
         created_ms, _ = ticket.owner  # type: ignore[misc]
         late = now_ms - created_ms > self.OBJECTIVE_MS
         self.outcomes["late" if late else "in time"] += 1
-        self.admission.learn("read", self.RUN_MS)
+        self.admission.record_run("read", self.RUN_MS)
         for started in end_request(self.admission, ticket, now_ms):
             self.run(started, now_ms)
 
 
-def credit(outcomes: Counter[str]) -> float:
+def mean_value(outcomes: Counter[str]) -> float:
     """Return the mean value of the answers, with 0.3 for a late one."""
     return (outcomes["in time"] + 0.3 * outcomes["late"]) / outcomes.total()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_more_answers_are_in_time_when_retries_are_recognised(seed: int) -> None:
-    unrecognised = Overload(recognises_retries=False, seed=seed).play()
-    recognised = Overload(recognises_retries=True, seed=seed).play()
-    print(unrecognised, credit(unrecognised), recognised, credit(recognised))
-    assert credit(recognised) > credit(unrecognised) + 0.05
+    unrecognised = OverloadSimulation(
+        recognises_retries=False, seed=seed
+    ).run_simulation()
+    recognised = OverloadSimulation(recognises_retries=True, seed=seed).run_simulation()
+    print(unrecognised, mean_value(unrecognised), recognised, mean_value(recognised))
+    assert mean_value(recognised) > mean_value(unrecognised) + 0.05
     served = recognised["in time"] + recognised["late"]
     assert served > 0.95 * (unrecognised["in time"] + unrecognised["late"])
 
