--- a/azurestep/control/comparison.py
+++ b/azurestep/control/comparison.py
@@ -5,7 +5,7 @@
 from .updates import Update
 
 
-def is_news(table: UpdateTable, update: Update) -> bool:
+def is_newer(table: UpdateTable, update: Update) -> bool:
     """Whether an update is newer than the one held."""
     held = table.get(key_of(update))
     return held is None or stamp_of(held) < stamp_of(update)
--- a/azurestep/control/detector.py
+++ b/azurestep/control/detector.py
@@ -10,11 +10,11 @@
 
 from ..settings import Address, ControlSettings
 
-REPEATS = 2
+MAX_RETRIES = 2
 
 
 @attrs.define
-class Outstanding:
+class PendingProbe:
     """A probe that waits for its answer.
 
     Attributes
@@ -27,7 +27,7 @@
         Monotonic time of the first attempt.
     repeats : int
         How often the probe was repeated on a new connection.
-    is_vouched : bool
+    is_relay_confirmed : bool
         Whether a helper heard the member.
     """
 
@@ -35,22 +35,22 @@
     to: Address
     sent_ms: float
     repeats: int = 0
-    is_vouched: bool = False
+    is_relay_confirmed: bool = False
 
 
 @attrs.frozen
-class Repeat:
+class ProbeRetry:
     """The probe is to be repeated on a new connection and through helpers."""
 
     sequence: int
-    probe: Outstanding
+    probe: PendingProbe
 
 
 @attrs.frozen
-class Failed:
+class ProbeFailure:
     """The probe and its repetitions went unanswered."""
 
-    probe: Outstanding
+    probe: PendingProbe
 
 
 class Detector:
@@ -60,7 +60,7 @@
         self._settings = settings
         self._random = source
         self._sequence = 0
-        self._outstanding: dict[int, Outstanding] = {}
+        self._pending: dict[int, PendingProbe] = {}
         self._next_probe_ms = 0.0
         self._turn = 0
 
@@ -82,33 +82,33 @@
     def start(self, instance: str, to: Address, now_ms: float) -> int:
         """Note a probe and return its sequence number."""
         self._sequence += 1
-        self._outstanding[self._sequence] = Outstanding(instance, to, now_ms)
+        self._pending[self._sequence] = PendingProbe(instance, to, now_ms)
         return self._sequence
 
-    def answered(self, sequence: int) -> Outstanding | None:
+    def record_ack(self, sequence: int) -> PendingProbe | None:
         """Note an answer and return the probe that it belongs to."""
-        return self._outstanding.pop(sequence, None)
+        return self._pending.pop(sequence, None)
 
-    def vouched(self, sequence: int) -> None:
+    def record_relayed_ack(self, sequence: int) -> None:
         """Note that a helper heard the member.
 
         The probe is repeated still, since a repetition mends the direct path.
         """
-        probe = self._outstanding.get(sequence)
+        probe = self._pending.get(sequence)
         if probe is not None:
-            probe.is_vouched = True
+            probe.is_relay_confirmed = True
 
-    def expire(self, now_ms: float) -> list[Repeat | Failed]:
+    def expire(self, now_ms: float) -> list[ProbeRetry | ProbeFailure]:
         """Return what became of probes whose time is over."""
         timeout_ms = self._settings.probe_timeout_ms
-        results: list[Repeat | Failed] = []
-        for sequence, probe in list(self._outstanding.items()):
+        results: list[ProbeRetry | ProbeFailure] = []
+        for sequence, probe in list(self._pending.items()):
             waited_ms = now_ms - probe.sent_ms
-            if waited_ms >= (REPEATS + 1) * timeout_ms:
-                del self._outstanding[sequence]
-                if not probe.is_vouched:
-                    results.append(Failed(probe))
+            if waited_ms >= (MAX_RETRIES + 1) * timeout_ms:
+                del self._pending[sequence]
+                if not probe.is_relay_confirmed:
+                    results.append(ProbeFailure(probe))
             elif waited_ms >= (probe.repeats + 1) * timeout_ms:
                 probe.repeats += 1
-                results.append(Repeat(sequence, probe))
+                results.append(ProbeRetry(sequence, probe))
         return results
--- a/azurestep/control/membership.py
+++ b/azurestep/control/membership.py
@@ -10,8 +10,8 @@
 from functools import singledispatchmethod
 
 from ..settings import Address, ControlSettings
-from .beliefs import Beliefs, Carrier
-from .comparison import is_news, sync_reply, sync_request
+from .beliefs import Channel, SuspicionTracker
+from .comparison import is_newer, sync_reply, sync_request
 from .gossip import UPDATES_PER_MESSAGE
 from .messages import (
     Ack,
@@ -32,7 +32,7 @@
 from .updates import LIVE, MemberState
 
 SYNC_INTERVAL_MS = 3000
-BULK_UPDATES = 4
+MAX_GOSSIPED_SYNC_UPDATES = 4
 
 
 class Membership(Roster):
@@ -59,8 +59,8 @@
     ) -> None:
         super().__init__(own, settings, source)
         self._seeds = Seeds(self, seeds, source)
-        self._beliefs = Beliefs(self, self._seeds, settings, source)
-        self._prober = Prober(self, self._beliefs, settings, source)
+        self._suspicions = SuspicionTracker(self, self._seeds, settings, source)
+        self._prober = Prober(self, self._suspicions, settings, source)
         self._next_sync_ms = 0.0
 
     def add_seeds(self, seeds: list[Address]) -> None:
@@ -70,7 +70,7 @@
     def tick(self, now_ms: float) -> list[Output]:
         """Return what is due at a monotonic time."""
         outputs = self._prober.expire(now_ms)
-        outputs.extend(self._beliefs.tick(now_ms))
+        outputs.extend(self._suspicions.tick(now_ms))
         outputs.extend(self._seeds.tick(now_ms))
         outputs.extend(self._prober.tick(now_ms))
         return outputs
@@ -82,8 +82,8 @@
 
     @handle.register
     def _(self, message: Probe, sender: Sender, now_ms: float) -> list[Output]:
-        outputs = self._prober.hear(message, sender)
-        outputs.extend(self._beliefs.merge(message.updates, now_ms))
+        outputs = self._prober.record_probe(message, sender)
+        outputs.extend(self._suspicions.merge(message.updates, now_ms))
         only_global = sender.data_centre != self._own.data_centre
         updates = self.queue.take(len(self._order), only_global)
         if any(key_of(u) == key_of(self._own) for u in message.updates):
@@ -91,10 +91,10 @@
             updates = [self._own, *updates]
         ack = Ack(message.sequence, self.digest, self.table.hash(only_global), updates)
         outputs.append(Send(sender.address, ack))
-        outputs.extend(self._greet_stranger(sender))
+        outputs.extend(self._sync_unknown_sender(sender))
         return outputs
 
-    def _greet_stranger(self, sender: Sender) -> list[Output]:
+    def _sync_unknown_sender(self, sender: Sender) -> list[Output]:
         if sender.data_centre != self._own.data_centre:
             return []
         member = self.member(sender.instance)
@@ -104,8 +104,8 @@
 
     @handle.register
     def _(self, message: Ack, sender: Sender, now_ms: float) -> list[Output]:
-        relayed = self._prober.answered(message)
-        outputs = self._beliefs.merge(message.updates, now_ms)
+        relayed = self._prober.record_ack(message)
+        outputs = self._suspicions.merge(message.updates, now_ms)
         outputs.extend(relayed)
         only_global = sender.data_centre != self._own.data_centre
         if message.table_hash == self.table.hash(only_global):
@@ -120,17 +120,17 @@
 
     @handle.register
     def _(self, message: ProbeRequest, sender: Sender, now_ms: float) -> list[Output]:
-        return self._prober.help(message, sender, now_ms)
+        return self._prober.relay_probe(message, sender, now_ms)
 
     @handle.register
     def _(self, message: ProbeRelayed, sender: Sender, now_ms: float) -> list[Output]:
-        self._prober.answered_by_helper(message)
+        self._prober.record_relayed_ack(message)
         return []
 
     @handle.register
     def _(self, message: Broadcast, sender: Sender, now_ms: float) -> list[Output]:
-        fresh = [u for u in message.updates if is_news(self.table, u)]
-        outputs = self._beliefs.merge(message.updates, now_ms, Carrier.BROADCAST)
+        fresh = [u for u in message.updates if is_newer(self.table, u)]
+        outputs = self._suspicions.merge(message.updates, now_ms, Channel.BROADCAST)
         if not fresh:
             return outputs
         root = message.root or self._own.instance
@@ -145,11 +145,11 @@
     @handle.register
     def _(self, message: SyncReply, sender: Sender, now_ms: float) -> list[Output]:
         if sender.data_centre != self._own.data_centre:
-            self._seeds.note_abroad(sender.address)
+            self._seeds.mark_remote(sender.address)
         was_alone = len(self._order) <= 1
-        is_bulk = len(message.updates) > BULK_UPDATES
-        carrier = Carrier.SYNC if is_bulk else Carrier.PROBE
-        outputs = self._beliefs.merge(message.updates, now_ms, carrier)
+        is_bulk = len(message.updates) > MAX_GOSSIPED_SYNC_UPDATES
+        channel = Channel.SYNC if is_bulk else Channel.PROBE
+        outputs = self._suspicions.merge(message.updates, now_ms, channel)
         if was_alone and len(self._order) > 1:
             outputs.extend(self.broadcast([self._own]))
         found = [self.table.by_hash(hashed) for hashed in message.wanted]
--- a/azurestep/control/probing.py
+++ b/azurestep/control/probing.py
@@ -4,16 +4,16 @@
 from collections import OrderedDict
 
 from ..settings import Address, ControlSettings
-from .beliefs import UNCOUNTED, Beliefs
-from .detector import Detector, Failed, Repeat
+from .beliefs import NO_SEQUENCE, SuspicionTracker
+from .detector import Detector, ProbeFailure, ProbeRetry
 from .messages import Ack, Probe, ProbeRelayed, ProbeRequest, Sender
 from .outputs import Output, ReplaceLink, Send
 from .ring import neighbours
 from .roster import Roster
 
-HELPERS = 2
-RELAYED_MAXIMUM = 256
-HEARD_MAXIMUM = 1024
+HELPERS_PER_PROBE = 2
+MAX_RELAYED_PROBES = 256
+MAX_TRACKED_SENDERS = 1024
 
 
 class Prober:
@@ -23,7 +23,7 @@
     ----------
     roster : Roster
         Members that are probed.
-    beliefs : Beliefs
+    suspicions : SuspicionTracker
         Told of members that left their probes unanswered.
     settings : ControlSettings
         Pace of the probes.
@@ -34,27 +34,27 @@
     def __init__(
         self,
         roster: Roster,
-        beliefs: Beliefs,
+        suspicions: SuspicionTracker,
         settings: ControlSettings,
         source: random.Random,
     ) -> None:
         self._roster = roster
-        self._beliefs = beliefs
+        self._suspicions = suspicions
         self._random = source
         self._detector = Detector(settings, source)
         self._relayed: dict[int, tuple[Address, int]] = {}
-        self._heard: OrderedDict[Sender, int] = OrderedDict()
+        self._last_sequences: OrderedDict[Sender, int] = OrderedDict()
         self._bridge_turn = 0
 
     def expire(self, now_ms: float) -> list[Output]:
         """Repeat unanswered probes; suspect members whose probes all failed."""
         outputs: list[Output] = []
         for result in self._detector.expire(now_ms):
-            if isinstance(result, Repeat):
+            if isinstance(result, ProbeRetry):
                 outputs.extend(self._repeat(result))
-            elif isinstance(result, Failed) and result.probe.instance:
+            elif isinstance(result, ProbeFailure) and result.probe.instance:
                 failed = result.probe.instance
-                outputs.extend(self._beliefs.suspect(failed, now_ms))
+                outputs.extend(self._suspicions.suspect(failed, now_ms))
         return outputs
 
     def tick(self, now_ms: float) -> list[Output]:
@@ -63,24 +63,24 @@
             return []
         outputs = self._probe_neighbour(now_ms)
         if self._roster.is_bridge():
-            outputs.extend(self._probe_abroad(now_ms))
+            outputs.extend(self._probe_remote(now_ms))
         return outputs
 
     def _probe_neighbour(self, now_ms: float) -> list[Output]:
-        near = neighbours(self._roster.order, self._roster.own.instance)
-        target = self._detector.next_target(near)
+        targets = neighbours(self._roster.order, self._roster.own.instance)
+        target = self._detector.next_target(targets)
         member = self._roster.member(target) if target else None
         if member is None:
             return []
         sequence = self._detector.start(member.instance, member.address, now_ms)
         return [Send(member.address, self._probe(sequence, only_global=False))]
 
-    def _probe_abroad(self, now_ms: float) -> list[Output]:
-        abroad = self._roster.reports_abroad()
-        if not abroad:
+    def _probe_remote(self, now_ms: float) -> list[Output]:
+        reports = self._roster.remote_reports()
+        if not reports:
             return []
         self._bridge_turn += 1
-        report = abroad[self._bridge_turn % len(abroad)]
+        report = reports[self._bridge_turn % len(reports)]
         to = self._random.choice(report.contacts)
         sequence = self._detector.start("", to, now_ms)
         return [Send(to, self._probe(sequence, only_global=True))]
@@ -91,7 +91,7 @@
             sequence, self._roster.digest, self._roster.table.hash(only_global), updates
         )
 
-    def _repeat(self, repeat: Repeat) -> list[Output]:
+    def _repeat(self, repeat: ProbeRetry) -> list[Output]:
         to = repeat.probe.to
         probe = Probe(repeat.sequence, self._roster.digest, 0)
         outputs: list[Output] = [ReplaceLink(to), Send(to, probe)]
@@ -102,45 +102,45 @@
         ]
         if not repeat.probe.instance:
             return outputs
-        for helper in self._random.sample(others, min(HELPERS, len(others))):
+        for helper in self._random.sample(others, min(HELPERS_PER_PROBE, len(others))):
             outputs.append(Send(helper, ProbeRequest(repeat.sequence, to)))
         return outputs
 
-    def hear(self, probe: Probe, sender: Sender) -> list[Output]:
+    def record_probe(self, probe: Probe, sender: Sender) -> list[Output]:
         """Replace the own link to a peer whose probe came before.
 
         The first answer did not arrive, so the link that carried it may swallow
         what is sent; the peer can replace only the link of the other direction.
         """
-        if probe.sequence == UNCOUNTED:
+        if probe.sequence == NO_SEQUENCE:
             return []
-        last = self._heard.pop(sender, UNCOUNTED)
-        self._heard[sender] = max(last, probe.sequence)
-        if len(self._heard) > HEARD_MAXIMUM:
-            self._heard.popitem(last=False)
+        last = self._last_sequences.pop(sender, NO_SEQUENCE)
+        self._last_sequences[sender] = max(last, probe.sequence)
+        if len(self._last_sequences) > MAX_TRACKED_SENDERS:
+            self._last_sequences.popitem(last=False)
         if probe.sequence > last:
             return []
         return [ReplaceLink(sender.address)]
 
-    def answered(self, ack: Ack) -> list[Output]:
+    def record_ack(self, ack: Ack) -> list[Output]:
         """Note an answer; tell the one that asked for the probe of it."""
-        self._detector.answered(ack.sequence)
+        self._detector.record_ack(ack.sequence)
         relayed = self._relayed.pop(ack.sequence, None)
         if relayed is None:
             return []
         to, sequence = relayed
         return [Send(to, ProbeRelayed(sequence))]
 
-    def answered_by_helper(self, relayed: ProbeRelayed) -> None:
+    def record_relayed_ack(self, relayed: ProbeRelayed) -> None:
         """Note that a helper heard the member."""
-        self._detector.vouched(relayed.sequence)
+        self._detector.record_relayed_ack(relayed.sequence)
 
-    def help(
+    def relay_probe(
         self, request: ProbeRequest, sender: Sender, now_ms: float
     ) -> list[Output]:
         """Probe a member for another one."""
         sequence = self._detector.start("", request.target, now_ms)
         self._relayed[sequence] = (sender.address, request.sequence)
-        while len(self._relayed) > RELAYED_MAXIMUM:
+        while len(self._relayed) > MAX_RELAYED_PROBES:
             self._relayed.pop(next(iter(self._relayed)))
         return [Send(request.target, Probe(sequence, self._roster.digest, 0))]
--- a/azurestep/control/relay.py
+++ b/azurestep/control/relay.py
@@ -125,7 +125,7 @@
             return [Send(member.address, pull)] if member else []
         if is_log_reachable:
             return []
-        return [Send(to, pull) for to in self._membership.contacts_abroad()[:1]]
+        return [Send(to, pull) for to in self._membership.remote_contacts()[:1]]
 
     @singledispatchmethod
     def handle(self, message: Message, sender: Sender, now_ms: float) -> list[Output]:
--- a/azurestep/control/roster.py
+++ b/azurestep/control/roster.py
@@ -66,7 +66,7 @@
         self._order: list[str] = []
         self._live: list[MemberState] = []
         self._bridges: list[str] = []
-        self.announce(own)
+        self.publish_own(own)
 
     @property
     def own(self) -> MemberState:
@@ -91,10 +91,10 @@
         """Return the newest report of each data centre."""
         return [u for u in self.table.updates(True) if isinstance(u, DataCentreReport)]
 
-    def contacts_abroad(self) -> list[Address]:
+    def remote_contacts(self) -> list[Address]:
         """Return a bridge of each other data centre, in random order."""
         found = [
-            self._random.choice(report.contacts) for report in self.reports_abroad()
+            self._random.choice(report.contacts) for report in self.remote_reports()
         ]
         self._random.shuffle(found)
         return found
@@ -107,7 +107,7 @@
         """Whether this node exchanges summaries with other data centres."""
         return self._own.instance in self.bridges()
 
-    def reports_abroad(self) -> list[DataCentreReport]:
+    def remote_reports(self) -> list[DataCentreReport]:
         """Return the reports of the other data centres that name a bridge."""
         return [
             report
@@ -115,12 +115,12 @@
             if report.data_centre != self._own.data_centre and report.contacts
         ]
 
-    def announce(self, own: MemberState) -> None:
+    def publish_own(self, own: MemberState) -> None:
         """Take a newer own record and queue it."""
         self._own = own
         self.table.merge(own)
         self.queue.add(own)
-        self.reorder()
+        self.refresh_order()
 
     def change_own(
         self,
@@ -139,7 +139,7 @@
             ),
             status=own.status if status is None else status,
         )
-        self.announce(changed)
+        self.publish_own(changed)
         return self.broadcast([self._own])
 
     def broadcast(self, updates: list[Update]) -> list[Output]:
@@ -148,17 +148,17 @@
         for update in updates:
             self.queue.add(update, is_broadcast=True)
         if any(isinstance(update, MemberState) for update in fresh):
-            self.reorder()
+            self.refresh_order()
         message = Broadcast(self._own.instance, updates)
         outputs = self.forward(message)
         shared = [update for update in updates if is_global(update)]
         if shared and self.is_bridge():
-            outputs.extend(self._broadcast_abroad(shared))
+            outputs.extend(self._broadcast_remote(shared))
         return outputs
 
-    def _broadcast_abroad(self, updates: list[Update]) -> list[Output]:
+    def _broadcast_remote(self, updates: list[Update]) -> list[Output]:
         message = Broadcast("", updates)
-        return [Send(to, message) for to in self.contacts_abroad()]
+        return [Send(to, message) for to in self.remote_contacts()]
 
     def forward(self, message: Broadcast) -> list[Output]:
         """Send a broadcast to the own children in its tree."""
@@ -170,7 +170,7 @@
         members = (self.member(name) for name in names)
         return [member.address for member in members if member is not None]
 
-    def reorder(self) -> None:
+    def refresh_order(self) -> None:
         """Derive ring order and bridges again from the table."""
         live = {
             update.instance: update
--- a/azurestep/control/seeds.py
+++ b/azurestep/control/seeds.py
@@ -9,8 +9,8 @@
 from .roster import Roster
 
 SEED_INTERVAL_MS = 1000
-SOUGHT_MAXIMUM = 16
-SEEDS_AT_ONCE = 3
+MAX_DEAD_SEEDS = 16
+SEEDS_PER_ROUND = 3
 
 
 class Seeds:
@@ -32,14 +32,14 @@
         self._roster = roster
         self._random = source
         self._seeds = [seed for seed in seeds if seed != roster.own.address]
-        self._sought_again: deque[Address] = deque(maxlen=SOUGHT_MAXIMUM)
-        self._abroad: set[Address] = set()
+        self._dead: deque[Address] = deque(maxlen=MAX_DEAD_SEEDS)
+        self._remote: set[Address] = set()
         self._next_seed_ms = 0.0
 
-    def note_abroad(self, address: Address) -> None:
+    def mark_remote(self, address: Address) -> None:
         """Note that a seed belongs to another data centre, where bridges go."""
         if address in self._seeds:
-            self._abroad.add(address)
+            self._remote.add(address)
 
     def tick(self, now_ms: float) -> list[Output]:
         """Ask a few seeds that are no members, often while alone."""
@@ -47,26 +47,26 @@
             return []
         self._next_seed_ms = now_ms + SEED_INTERVAL_MS * self._random.uniform(1, 2)
         known = {member.address for member in self._roster.members()}
-        seeds = [*self._seeds, *self._sought_again]
-        is_alone = len(self._roster.order) <= 1 or self._is_cut_off()
+        seeds = [*self._seeds, *self._dead]
+        is_alone = len(self._roster.order) <= 1 or self._lacks_remote_bridges()
         if not is_alone:
-            known |= self._abroad
-        strangers = [seed for seed in seeds if seed not in known]
-        if not strangers or (not is_alone and self._random.random() > 0.1):
+            known |= self._remote
+        unknown = [seed for seed in seeds if seed not in known]
+        if not unknown or (not is_alone and self._random.random() > 0.1):
             return []
-        count = min(SEEDS_AT_ONCE, len(strangers)) if is_alone else 1
-        chosen = self._random.sample(strangers, count)
+        count = min(SEEDS_PER_ROUND, len(unknown)) if is_alone else 1
+        chosen = self._random.sample(unknown, count)
         return [Send(to, sync_request(self._roster.table)) for to in chosen]
 
-    def _is_cut_off(self) -> bool:
+    def _lacks_remote_bridges(self) -> bool:
         """Whether a bridge knows no bridge of another data centre."""
-        return self._roster.is_bridge() and not self._roster.reports_abroad()
+        return self._roster.is_bridge() and not self._roster.remote_reports()
 
-    def seek_again(self, address: Address) -> None:
+    def add_dead(self, address: Address) -> None:
         """Go on seeking a dead member: it may live beyond a partition."""
         if address in self._seeds:
             return
-        self._sought_again.append(address)
+        self._dead.append(address)
 
     def add(self, seeds: list[Address]) -> None:
         """Add control addresses to try, for example from join records."""
--- a/azurestep/control/waiting.py
+++ b/azurestep/control/waiting.py
@@ -12,7 +12,7 @@
 from ..settings import Address
 
 FRAMES_PER_PEER = 64
-WAIT_MAXIMUM_MS = 1000
+MAX_WAIT_MS = 1000
 
 OnDrop = Callable[[], None]
 
@@ -60,7 +60,7 @@
     def expire(self, now_ms: float) -> Iterator[WaitingFrame]:
         """Take out and yield the frames that waited for too long."""
         for to, frames in list(self._frames.items()):
-            while frames and now_ms - frames[0].since_ms >= WAIT_MAXIMUM_MS:
+            while frames and now_ms - frames[0].since_ms >= MAX_WAIT_MS:
                 yield frames.popleft()
             if not frames:
                 del self._frames[to]
--- a/azurestep/node/outcomes.py
+++ b/azurestep/node/outcomes.py
@@ -110,7 +110,7 @@
 
     def _tell_abroad(self, updates: list[Update]) -> list[Output]:
         message = Broadcast("", updates)
-        return [Send(to, message) for to in self.membership.contacts_abroad()]
+        return [Send(to, message) for to in self.membership.remote_contacts()]
 
     @perform.register
     def _(self, output: VersionApplied) -> None:
--- a/tests/test_control_seeds.py
+++ b/tests/test_control_seeds.py
@@ -37,7 +37,7 @@
 
 
 def test_a_seed_of_another_data_centre_is_not_asked_again(seeds: Seeds) -> None:
-    seeds.note_abroad(ABROAD)
+    seeds.mark_remote(ABROAD)
     assert asked(seeds) == {LOST}
 
 
