--- a/tests/test_control_seeds.py
+++ b/tests/test_control_seeds.py
@@ -8,9 +8,9 @@
 from azurestep.control.updates import MemberState, MemberStatus
 from azurestep.settings import Address, ControlSettings
 
-ABROAD = Address("127.0.0.1", 9000)
-LOST = Address("127.0.0.1", 9001)
-NEAR = Sender("near", "dc-1", 1, "127.0.0.1", 7001)
+REMOTE = Address("127.0.0.1", 9000)
+UNREACHABLE = Address("127.0.0.1", 9001)
+LOCAL_SENDER = Sender("near", "dc-1", 1, "127.0.0.1", 7001)
 HOUR_MS = 3_600_000
 
 
@@ -26,33 +26,33 @@
     pace = ControlSettings(bridges_per_data_centre=1)
     node = Membership(member(0), [], pace, random.Random(4))
     others = [member(number) for number in range(1, 12)]
-    node.handle(SyncReply(others), NEAR, 0.0)
+    node.handle(SyncReply(others), LOCAL_SENDER, 0.0)
     assert not node.is_bridge()
-    return Seeds(node, [ABROAD, LOST], random.Random(4))
+    return Seeds(node, [REMOTE, UNREACHABLE], random.Random(4))
 
 
-def asked(seeds: Seeds) -> set[Address]:
+def contacted(seeds: Seeds) -> set[Address]:
     outputs = [o for now_ms in range(0, HOUR_MS, 500) for o in seeds.tick(now_ms)]
     return {output.to for output in outputs}
 
 
-def test_a_seed_of_another_data_centre_is_not_asked_again(seeds: Seeds) -> None:
-    seeds.mark_remote(ABROAD)
-    assert asked(seeds) == {LOST}
+def test_remote_seed_is_not_contacted_again(seeds: Seeds) -> None:
+    seeds.mark_remote(REMOTE)
+    assert contacted(seeds) == {UNREACHABLE}
 
 
-def test_a_seed_that_never_answered_is_still_sought(seeds: Seeds) -> None:
-    assert asked(seeds) == {ABROAD, LOST}
+def test_seed_without_an_answer_is_still_contacted(seeds: Seeds) -> None:
+    assert contacted(seeds) == {REMOTE, UNREACHABLE}
 
 
-def test_an_answer_from_abroad_is_noted(seeds: Seeds) -> None:
+def test_sync_reply_marks_a_seed_as_remote(seeds: Seeds) -> None:
     node = Membership(
         member(0),
-        [ABROAD],
+        [REMOTE],
         ControlSettings(bridges_per_data_centre=0),
         random.Random(4),
     )
-    node.handle(SyncReply([member(1), member(2)]), NEAR, 0.0)
-    sender = Sender("far", "dc-2", 1, ABROAD.host, ABROAD.port)
+    node.handle(SyncReply([member(1), member(2)]), LOCAL_SENDER, 0.0)
+    sender = Sender("far", "dc-2", 1, REMOTE.host, REMOTE.port)
     node.handle(SyncReply([]), sender, 0.0)
-    assert asked(node._seeds) == set()
+    assert contacted(node._seeds) == set()
