--- a/azurestep/control/beliefs.py
+++ b/azurestep/control/beliefs.py
@@ -21,7 +21,7 @@
 
 
 class Channel(Enum):
-    """How an update came; it decides how often it is passed on."""
+    """How an update arrived, which decides how often it is retransmitted."""
 
     PROBE = "probe"
     BROADCAST = "broadcast"
@@ -29,16 +29,16 @@
 
 
 class SuspicionTracker:
-    """Merges what others say and decides who is suspected and who is dead.
+    """Merges received updates and decides which members are suspected or dead.
 
     Parameters
     ----------
     roster : Roster
-        Members and the own record.
+        Members and the record of this node.
     seeds : Seeds
-        Where the dead are sought again.
+        Receives the addresses of dead members, to contact them again.
     settings : ControlSettings
-        Time that a suspected member has to refute.
+        Time that a suspected member has to refute the suspicion.
     source : random.Random
         Source of jitter.
     """
@@ -60,14 +60,14 @@
         self._next_suspect_probe_ms = 0.0
 
     def tick(self, now_ms: float) -> list[Output]:
-        """Give up, ask and forget whose time has come."""
+        """Declare suspects dead, probe the others and expire inactive members."""
         outputs = self._expire_suspects(now_ms)
         outputs.extend(self._probe_suspects(now_ms))
         self._expire_inactive(now_ms)
         return outputs
 
     def suspect(self, instance: str, now_ms: float) -> list[Output]:
-        """Suspect a member that left its probes unanswered."""
+        """Suspect a live member that did not answer its probes."""
         member = self._roster.member(instance)
         if member is None or member.status != MemberStatus.ALIVE:
             return []
@@ -76,7 +76,7 @@
         return [*self._roster.broadcast([suspect]), MemberChanged(suspect)]
 
     def _probe_suspects(self, now_ms: float) -> list[Output]:
-        """Tell suspected members of the suspicion, so that they can refute it."""
+        """Send suspected members the suspicion, so that they can refute it."""
         if now_ms < self._next_suspect_probe_ms:
             return []
         self._next_suspect_probe_ms = (
@@ -119,7 +119,7 @@
         now_ms: float,
         channel: Channel = Channel.PROBE,
     ) -> list[Output]:
-        """Take updates; the newer ones are passed on."""
+        """Merge updates and queue the newer ones for other nodes."""
         outputs: list[Output] = []
         for update in updates:
             if isinstance(update, MemberState):
@@ -131,7 +131,7 @@
         return outputs
 
     def _sync_unknown_bridges(self, update: Update) -> list[Output]:
-        """Greet bridges of the own data centre that are not known as members."""
+        """Start a sync with a local bridge that is not known as a member."""
         if not isinstance(update, DataCentreReport):
             return []
         if update.data_centre != self._roster.own.data_centre:
@@ -142,7 +142,7 @@
         return [Send(to, sync_request(self._roster.table)) for to in unknown[:1]]
 
     def _sync_new_data_centre(self, report: DataCentreReport) -> list[Output]:
-        """Compare tables at once with a data centre that was not known."""
+        """From a bridge, start a sync with a data centre seen for the first time."""
         is_first = report.data_centre not in self._synced_data_centres
         if not is_first or not report.contacts or not self._roster.is_bridge():
             return []
@@ -176,8 +176,8 @@
     def _needs_suspicion(
         self, update: MemberState, held: MemberState, now_ms: float
     ) -> bool:
-        # The two sides of a healed partition believe each other dead. Whoever
-        # still hears a member lets it refute before giving it up.
+        # After a partition heals, each side reports the other as dead. A member
+        # that is live here becomes suspected first, so that it can refute.
         if update.status != MemberStatus.DEAD or held.status not in LIVE:
             return False
         since_ms = self._suspected_since_ms.get(held.instance, now_ms)
--- a/azurestep/control/comparison.py
+++ b/azurestep/control/comparison.py
@@ -1,4 +1,4 @@
-"""Comparison of whole tables: each side asks for what the other holds newer."""
+"""Anti-entropy sync: two nodes exchange the updates that one holds newer."""
 
 from .messages import ItemStamp, SyncReply, SyncRequest
 from .table import UpdateTable, key_hash, key_of, stamp_of
@@ -6,13 +6,13 @@
 
 
 def is_newer(table: UpdateTable, update: Update) -> bool:
-    """Whether an update is newer than the one held."""
+    """Whether an update is newer than the one in the table."""
     held = table.get(key_of(update))
     return held is None or stamp_of(held) < stamp_of(update)
 
 
 def sync_request(table: UpdateTable, only_global: bool = False) -> SyncRequest:
-    """Return the stamps of all updates held, or of the global ones."""
+    """Return the stamps of all updates in the table, or of the global ones."""
     return SyncRequest(
         [
             ItemStamp(key_hash(key_of(update)), list(stamp_of(update)))
@@ -24,7 +24,7 @@
 def sync_reply(
     table: UpdateTable, request: SyncRequest, only_global: bool
 ) -> SyncReply:
-    """Return what is newer here, and the keys of what is newer there."""
+    """Return the updates newer here and the key hashes of those newer there."""
     theirs = {item.key_hash: tuple(item.stamp) for item in request.stamps}
     newer = []
     for update in table.updates(only_global):
--- a/azurestep/control/detector.py
+++ b/azurestep/control/detector.py
@@ -1,7 +1,7 @@
 """Failure detector: probes, indirect probes, suspicion.
 
-An unanswered probe is repeated on a new connection and through two helpers
-before the member is suspected, since the path may be lost and not the peer.
+An unanswered probe is repeated on a new connection and through helpers before
+the member is suspected, since only the connection may have failed.
 """
 
 import random
@@ -15,20 +15,20 @@
 
 @attrs.define
 class PendingProbe:
-    """A probe that waits for its answer.
+    """A probe without an ack so far.
 
     Attributes
     ----------
     instance : str
-        Member that was probed; empty for an address of another data centre.
+        Member that was probed; empty for a remote bridge or relayed probe.
     to : Address
-        Where the probe went.
+        Address that was probed.
     sent_ms : float
         Monotonic time of the first attempt.
     repeats : int
         How often the probe was repeated on a new connection.
     is_relay_confirmed : bool
-        Whether a helper heard the member.
+        Whether a helper received an ack from the member.
     """
 
     instance: str
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class ProbeRetry:
-    """The probe is to be repeated on a new connection and through helpers."""
+    """A probe to repeat on a new connection and through helpers."""
 
     sequence: int
     probe: PendingProbe
@@ -48,13 +48,13 @@
 
 @attrs.frozen
 class ProbeFailure:
-    """The probe and its repetitions went unanswered."""
+    """A probe that got no ack, nor did its repetitions."""
 
     probe: PendingProbe
 
 
 class Detector:
-    """Keeps the outstanding probes of one node."""
+    """Tracks the pending probes of one node."""
 
     def __init__(self, settings: ControlSettings, source: random.Random) -> None:
         self._settings = settings
@@ -65,7 +65,7 @@
         self._turn = 0
 
     def is_due(self, now_ms: float) -> bool:
-        """Whether it is time for the next probe; jitter keeps nodes apart."""
+        """Whether it is time for the next probe; jitter desynchronises the nodes."""
         if now_ms < self._next_probe_ms:
             return False
         interval_ms = self._settings.probe_interval_ms
@@ -73,33 +73,33 @@
         return True
 
     def next_target(self, targets: list[str]) -> str | None:
-        """Return the members in turn."""
+        """Return the next member, round robin."""
         if not targets:
             return None
         self._turn += 1
         return targets[self._turn % len(targets)]
 
     def start(self, instance: str, to: Address, now_ms: float) -> int:
-        """Note a probe and return its sequence number."""
+        """Record a probe and return its sequence number."""
         self._sequence += 1
         self._pending[self._sequence] = PendingProbe(instance, to, now_ms)
         return self._sequence
 
     def record_ack(self, sequence: int) -> PendingProbe | None:
-        """Note an answer and return the probe that it belongs to."""
+        """Remove and return the probe that an ack belongs to."""
         return self._pending.pop(sequence, None)
 
     def record_relayed_ack(self, sequence: int) -> None:
-        """Note that a helper heard the member.
+        """Record that a helper received an ack from the member.
 
-        The probe is repeated still, since a repetition mends the direct path.
+        The probe is still repeated, since that replaces the direct connection.
         """
         probe = self._pending.get(sequence)
         if probe is not None:
             probe.is_relay_confirmed = True
 
     def expire(self, now_ms: float) -> list[ProbeRetry | ProbeFailure]:
-        """Return what became of probes whose time is over."""
+        """Return the probes to repeat and those that failed."""
         timeout_ms = self._settings.probe_timeout_ms
         results: list[ProbeRetry | ProbeFailure] = []
         for sequence, probe in list(self._pending.items()):
--- a/azurestep/control/gossip.py
+++ b/azurestep/control/gossip.py
@@ -1,4 +1,4 @@
-"""Queue of updates that ride on probes and their answers."""
+"""Queue of updates that are piggybacked on probes and acks."""
 
 import math
 
@@ -20,21 +20,21 @@
 
 
 class GossipQueue:
-    """Hands out each update a number of times that grows with log2(members).
+    """Sends each update a number of times that grows with log2(members).
 
-    An update that a broadcast carries reached nearly everyone; it is handed out
-    once more, and what is still missing is found by comparing tables.
+    An update that was broadcast is sent once more; a sync delivers it to nodes
+    that still lack it.
     """
 
     def __init__(self) -> None:
         self._pending: dict[str, _Pending] = {}
 
     def add(self, update: Update, is_broadcast: bool = False) -> None:
-        """Queue an update; it replaces an older one about the same key."""
+        """Queue an update; it replaces an older one with the same key."""
         self._pending[key_of(update)] = _Pending(update, is_broadcast)
 
     def take(self, members: int, only_global: bool = False) -> list[Update]:
-        """Return the updates for one message, the least sent first."""
+        """Return the updates for one message, least often sent first."""
         limit = RETRANSMIT_FACTOR * max(1, math.ceil(math.log2(members + 1)))
         candidates = [
             pending
--- a/azurestep/control/membership.py
+++ b/azurestep/control/membership.py
@@ -1,9 +1,9 @@
-"""Membership: who is alive, and what everyone announces.
+"""Membership: live members and their announced state, without I/O.
 
-A pure decision. Nodes of a data centre probe their neighbours on the ring, so
-the cost of a node grows with the logarithm of the member count. Bridges, chosen
-by rendezvous hash, probe bridges of the other data centres and exchange only
-the global updates with them.
+Nodes of a data centre probe their neighbours on the ring, so the cost of a
+node grows with the logarithm of the member count. Bridges, chosen by
+rendezvous hash, probe bridges of remote data centres and exchange only the
+global updates with them.
 """
 
 import random
@@ -43,9 +43,9 @@
     own : MemberState
         The node's own record.
     seeds : list of Address
-        Control addresses to try first.
+        Control addresses to contact first.
     settings : ControlSettings
-        Pace of the probes.
+        Probe intervals and timeouts.
     source : random.Random
         Source of jitter.
     """
@@ -64,7 +64,7 @@
         self._next_sync_ms = 0.0
 
     def add_seeds(self, seeds: list[Address]) -> None:
-        """Add control addresses to try, for example from join records."""
+        """Add control addresses to contact, for example from join records."""
         self._seeds.add(seeds)
 
     def tick(self, now_ms: float) -> list[Output]:
@@ -77,7 +77,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, sender: Sender, now_ms: float) -> list[Output]:
-        """Take a message; messages of other decisions are ignored."""
+        """Handle a message; types without a handler here are ignored."""
         return []
 
     @handle.register
@@ -87,7 +87,7 @@
         only_global = sender.data_centre != self._own.data_centre
         updates = self.queue.take(len(self._order), only_global)
         if any(key_of(u) == key_of(self._own) for u in message.updates):
-            # A suspicion is answered in any case, not only when it is new.
+            # Refutes a suspicion also when it is not new.
             updates = [self._own, *updates]
         ack = Ack(message.sequence, self.digest, self.table.hash(only_global), updates)
         outputs.append(Send(sender.address, ack))
@@ -110,8 +110,7 @@
         only_global = sender.data_centre != self._own.data_centre
         if message.table_hash == self.table.hash(only_global):
             return outputs
-        # A short queue will settle the difference; a long one is slower than a
-        # whole comparison.
+        # One message can send a short queue; a long one is slower than a sync.
         if 0 < len(self.queue) <= UPDATES_PER_MESSAGE or now_ms < self._next_sync_ms:
             return outputs
         self._next_sync_ms = now_ms + SYNC_INTERVAL_MS
--- a/azurestep/control/probing.py
+++ b/azurestep/control/probing.py
@@ -1,4 +1,4 @@
-"""Probing: neighbours on the ring, bridges abroad, and helpers for others."""
+"""Probes of ring neighbours and remote bridges, and probes for other nodes."""
 
 import random
 from collections import OrderedDict
@@ -17,16 +17,16 @@
 
 
 class Prober:
-    """Sends the probes of one node and helps others with theirs.
+    """Sends the probes of one node and relays probes for others.
 
     Parameters
     ----------
     roster : Roster
-        Members that are probed.
+        Members to probe.
     suspicions : SuspicionTracker
-        Told of members that left their probes unanswered.
+        Suspects the members that did not answer their probes.
     settings : ControlSettings
-        Pace of the probes.
+        Probe intervals and timeouts.
     source : random.Random
         Source of jitter.
     """
@@ -58,7 +58,7 @@
         return outputs
 
     def tick(self, now_ms: float) -> list[Output]:
-        """Probe the next neighbour, and a bridge abroad if the node is one."""
+        """Probe the next neighbour and, from a bridge, a remote bridge."""
         if not self._detector.is_due(now_ms):
             return []
         outputs = self._probe_neighbour(now_ms)
@@ -107,10 +107,10 @@
         return outputs
 
     def record_probe(self, probe: Probe, sender: Sender) -> list[Output]:
-        """Replace the own link to a peer whose probe came before.
+        """Replace the link to a peer that repeats a probe.
 
-        The first answer did not arrive, so the link that carried it may swallow
-        what is sent; the peer can replace only the link of the other direction.
+        The peer did not get the first ack, so this link may lose messages; the
+        peer can replace only the link in the other direction.
         """
         if probe.sequence == NO_SEQUENCE:
             return []
@@ -123,7 +123,7 @@
         return [ReplaceLink(sender.address)]
 
     def record_ack(self, ack: Ack) -> list[Output]:
-        """Note an answer; tell the one that asked for the probe of it."""
+        """Record an ack and report it to the node that requested the probe."""
         self._detector.record_ack(ack.sequence)
         relayed = self._relayed.pop(ack.sequence, None)
         if relayed is None:
@@ -132,13 +132,13 @@
         return [Send(to, ProbeRelayed(sequence))]
 
     def record_relayed_ack(self, relayed: ProbeRelayed) -> None:
-        """Note that a helper heard the member."""
+        """Record that a helper received an ack from the member."""
         self._detector.record_relayed_ack(relayed.sequence)
 
     def relay_probe(
         self, request: ProbeRequest, sender: Sender, now_ms: float
     ) -> list[Output]:
-        """Probe a member for another one."""
+        """Probe a member on behalf of another."""
         sequence = self._detector.start("", request.target, now_ms)
         self._relayed[sequence] = (sender.address, request.sequence)
         while len(self._relayed) > MAX_RELAYED_PROBES:
--- a/azurestep/control/ring.py
+++ b/azurestep/control/ring.py
@@ -1,7 +1,6 @@
-"""Who talks to whom, derived by every node from the same member list.
+"""Ring, rendezvous hash and broadcast tree, computed from the member list.
 
-All functions are pure and give the same answer at every node that holds the
-same members, so nothing has to be elected.
+Nodes with the same members compute the same result, so no election is needed.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,7 +11,7 @@
 
 @lru_cache(maxsize=8192)
 def ring_hash(name: str) -> int:
-    """Return the place of an instance on the ring."""
+    """Return the position of an instance on the ring."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
@@ -23,7 +22,7 @@
 
 
 def ring_order(names: Iterable[str]) -> list[str]:
-    """Return instances in the order of the ring."""
+    """Return instances in ring order."""
     return sorted(names, key=lambda name: (ring_hash(name), name))
 
 
@@ -93,7 +92,7 @@
 
 
 def parent(order: Sequence[str], root: str, own: str, fan_out: int) -> str | None:
-    """Return the parent of an instance in that tree; None for the root.
+    """Return the parent of an instance in the broadcast tree; None for the root.
 
     Examples
     --------
--- a/azurestep/control/roster.py
+++ b/azurestep/control/roster.py
@@ -1,7 +1,6 @@
-"""The roster of a node: what it announces, and whom it knows.
+"""Roster of a node: its own record, members, ring order and bridges.
 
-The table of updates, the ring order and the bridges derived from it, and the
-sending of urgent updates along the tree and to the other data centres.
+Sends urgent updates down the broadcast tree and to remote data centres.
 """
 
 import random
@@ -27,7 +26,7 @@
 
 
 class Roster:
-    """Own record, members and bridges of one node.
+    """Record, members and bridges of one node.
 
     Parameters
     ----------
@@ -36,18 +35,18 @@
     settings : ControlSettings
         Fan-out and the number of bridges.
     source : random.Random
-        Chooses the bridges that are addressed abroad.
+        Chooses among the remote bridges.
 
     Attributes
     ----------
     table : UpdateTable
-        All updates held.
+        Latest update for each key.
     queue : GossipQueue
-        Updates that ride on probes and their answers.
+        Updates that are piggybacked on probes and acks.
     digest : Digest
-        Configuration that the node tells of.
+        Digest of the configuration, sent with each probe and ack.
     epoch : int
-        Grows with each change of what is believed of a member.
+        Grows each time ring order and bridges are derived again.
     """
 
     def __init__(
@@ -74,17 +73,17 @@
         return self._own
 
     def member(self, instance: str) -> MemberState | None:
-        """Return what is believed of an instance of this data centre."""
+        """Return the record of an instance of the local data centre."""
         held = self.table.get(f"m/{instance}")
         return held if isinstance(held, MemberState) else None
 
     def members(self) -> list[MemberState]:
-        """Return the live members of this data centre in ring order."""
+        """Return the live members of the local data centre in ring order."""
         return self._live
 
     @property
     def order(self) -> list[str]:
-        """Instances of the live members of this data centre, in ring order."""
+        """Instances of the live members of the local data centre, in ring order."""
         return self._order
 
     def reports(self) -> list[DataCentreReport]:
@@ -92,7 +91,7 @@
         return [u for u in self.table.updates(True) if isinstance(u, DataCentreReport)]
 
     def remote_contacts(self) -> list[Address]:
-        """Return a bridge of each other data centre, in random order."""
+        """Return a bridge of each remote data centre, in random order."""
         found = [
             self._random.choice(report.contacts) for report in self.remote_reports()
         ]
@@ -100,15 +99,15 @@
         return found
 
     def bridges(self) -> list[str]:
-        """Return the bridges of this data centre."""
+        """Return the bridges of the local data centre."""
         return self._bridges
 
     def is_bridge(self) -> bool:
-        """Whether this node exchanges summaries with other data centres."""
+        """Whether this node exchanges summaries with remote data centres."""
         return self._own.instance in self.bridges()
 
     def remote_reports(self) -> list[DataCentreReport]:
-        """Return the reports of the other data centres that name a bridge."""
+        """Return the reports of remote data centres that name a bridge."""
         return [
             report
             for report in self.reports()
@@ -116,7 +115,7 @@
         ]
 
     def publish_own(self, own: MemberState) -> None:
-        """Take a newer own record and queue it."""
+        """Replace the record of this node and queue it."""
         self._own = own
         self.table.merge(own)
         self.queue.add(own)
@@ -128,7 +127,7 @@
         log_reachable: bool | None = None,
         status: MemberStatus | None = None,
     ) -> list[Output]:
-        """Change what the node announces and broadcast it at once."""
+        """Change the record of this node and broadcast it."""
         own = self._own
         changed = attrs.evolve(
             own,
@@ -143,7 +142,7 @@
         return self.broadcast([self._own])
 
     def broadcast(self, updates: list[Update]) -> list[Output]:
-        """Spread urgent updates: merge them and send them down a tree."""
+        """Merge urgent updates and send them down the broadcast tree."""
         fresh = [update for update in updates if self.table.merge(update)]
         for update in updates:
             self.queue.add(update, is_broadcast=True)
@@ -161,7 +160,7 @@
         return [Send(to, message) for to in self.remote_contacts()]
 
     def forward(self, message: Broadcast) -> list[Output]:
-        """Send a broadcast to the own children in its tree."""
+        """Send a broadcast to the children of this node in its tree."""
         fan_out = max(1, self._settings.push_fan_out)
         names = children(self._order, message.root, self._own.instance, fan_out)
         return [Send(to, message) for to in self._addresses(names)]
--- a/azurestep/control/seeds.py
+++ b/azurestep/control/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds: addresses that are tried until their nodes are known as members."""
+"""Seeds: addresses to contact until their nodes are known as members."""
 
 import random
 from collections import deque
@@ -14,14 +14,14 @@
 
 
 class Seeds:
-    """Addresses to try, and those of the dead, who may live beyond a partition.
+    """Seeds, and addresses of dead members, which a partition may only hide.
 
     Parameters
     ----------
     roster : Roster
-        Members that are known already.
+        Known members.
     seeds : list of Address
-        Control addresses to try first.
+        Control addresses to contact first.
     source : random.Random
         Source of jitter.
     """
@@ -37,12 +37,12 @@
         self._next_seed_ms = 0.0
 
     def mark_remote(self, address: Address) -> None:
-        """Note that a seed belongs to another data centre, where bridges go."""
+        """Record that a seed is remote; it is contacted only while isolated."""
         if address in self._seeds:
             self._remote.add(address)
 
     def tick(self, now_ms: float) -> list[Output]:
-        """Ask a few seeds that are no members, often while alone."""
+        """Contact some seeds that are not members, more often while isolated."""
         if now_ms < self._next_seed_ms:
             return []
         self._next_seed_ms = now_ms + SEED_INTERVAL_MS * self._random.uniform(1, 2)
@@ -59,17 +59,17 @@
         return [Send(to, sync_request(self._roster.table)) for to in chosen]
 
     def _lacks_remote_bridges(self) -> bool:
-        """Whether a bridge knows no bridge of another data centre."""
+        """Whether this node is a bridge that knows no remote bridge."""
         return self._roster.is_bridge() and not self._roster.remote_reports()
 
     def add_dead(self, address: Address) -> None:
-        """Go on seeking a dead member: it may live beyond a partition."""
+        """Add the address of a dead member, which a partition may only hide."""
         if address in self._seeds:
             return
         self._dead.append(address)
 
     def add(self, seeds: list[Address]) -> None:
-        """Add control addresses to try, for example from join records."""
+        """Add control addresses to contact, for example from join records."""
         for seed in seeds:
             if seed != self._roster.own.address and seed not in self._seeds:
                 self._seeds.append(seed)
--- a/azurestep/control/waiting.py
+++ b/azurestep/control/waiting.py
@@ -1,7 +1,6 @@
 """Frames that wait until the connection to their peer is up.
 
-A pure decision: it holds frames, and says which were given up. A frame that never
-left it was certainly not sent.
+Performs no I/O. A frame that expires here was never sent.
 """
 
 from collections import deque
@@ -19,7 +18,7 @@
 
 @attrs.frozen
 class WaitingFrame:
-    """A frame, the time since which it waits, and who is told if it is dropped."""
+    """A frame, when it was queued, and a callback for when it is dropped."""
 
     frame: bytes
     since_ms: float
@@ -27,7 +26,7 @@
 
 
 class WaitingFrames:
-    """Frames by peer, in the order in which they came."""
+    """Queued frames by peer, in order of arrival."""
 
     def __init__(self) -> None:
         self._frames: dict[Address, deque[WaitingFrame]] = {}
@@ -36,13 +35,13 @@
         return sum(len(frames) for frames in self._frames.values())
 
     def has(self, to: Address) -> bool:
-        """Whether frames for a peer wait, which later ones must not pass."""
+        """Whether frames for a peer wait; later ones must queue behind them."""
         return to in self._frames
 
     def add(
         self, to: Address, frame: bytes, now_ms: float, on_drop: OnDrop | None = None
     ) -> bool:
-        """Let a frame wait; return whether there was room."""
+        """Queue a frame; return whether there was room."""
         frames = self._frames.setdefault(to, deque())
         if len(frames) >= FRAMES_PER_PEER:
             return False
@@ -50,7 +49,7 @@
         return True
 
     def flush(self, send: Callable[[Address, bytes], bool]) -> None:
-        """Hand the frames of every peer to a sender until it takes no more."""
+        """Send the frames of each peer until ``send`` returns False."""
         for to, frames in list(self._frames.items()):
             while frames and send(to, frames[0].frame):
                 frames.popleft()
@@ -58,7 +57,7 @@
                 del self._frames[to]
 
     def expire(self, now_ms: float) -> Iterator[WaitingFrame]:
-        """Take out and yield the frames that waited for too long."""
+        """Remove and yield the frames that waited for ``MAX_WAIT_MS`` or longer."""
         for to, frames in list(self._frames.items()):
             while frames and now_ms - frames[0].since_ms >= MAX_WAIT_MS:
                 yield frames.popleft()
--- a/tests/test_control_fleet_herds.py
+++ b/tests/test_control_fleet_herds.py
@@ -1,4 +1,4 @@
-"""Herds of restarts and cut data centres while versions spread."""
+"""Mass restarts and partitioned data centres while versions spread."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_herd_returns_while_the_platform_is_out(seed):
+def test_mass_restart_converges_during_a_platform_outage(seed):
     result = measure_herd(COUNT, seed)
 
     assert result.went_back == 0
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("cut", Cut)
-def test_cut_data_centre_heals_during_a_publication(cut):
+def test_partitioned_data_centre_converges_during_a_publication(cut):
     result = measure_cut(COUNT, 1, cut)
 
     assert result.went_back == 0
--- a/tests/test_control_herds.py
+++ b/tests/test_control_herds.py
@@ -1,7 +1,7 @@
 from bench.herds import measure
 
 
-def test_small_data_centre_gets_through_every_situation():
+def test_small_data_centre_has_no_false_deaths_or_suspicions():
     result = measure(nodes=12, seed=1)
 
     assert result.false_deaths == 0
--- a/tests/test_control_membership.py
+++ b/tests/test_control_membership.py
@@ -25,12 +25,12 @@
     ]
 
 
-def test_nodes_that_know_one_address_find_each_other():
+def test_nodes_with_one_seed_discover_all_members():
     assert joined().is_whole()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nobody_is_declared_dead_at_a_fifth_of_all_messages_lost(seed):
+def test_no_member_is_declared_dead_at_20_percent_message_loss(seed):
     network = joined(seed=seed)
     network.loss_ratio = 0.2
     network.run(120_000)
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_halves_of_a_healed_partition_find_each_other(seed):
+def test_healed_partition_converges_without_new_deaths(seed):
     network = joined(seed=seed)
     network.is_cut = halves
     network.run(20_000)
@@ -53,7 +53,7 @@
     assert deaths(network, healed_ms) == []
 
 
-def test_dead_node_is_noticed_by_all():
+def test_all_nodes_detect_a_dead_node():
     network = joined()
     victim = network.nodes[next(reversed(network.nodes))]
     victim.is_running = False
@@ -63,7 +63,7 @@
     assert took_ms < 8_000
 
 
-def test_node_that_left_stays_away_while_old_news_of_it_goes_round():
+def test_old_updates_do_not_revive_a_node_that_left():
     network = joined()
     leaver = network.nodes[next(reversed(network.nodes))]
     outputs = leaver.membership.change_own(status=MemberStatus.LEFT)
@@ -87,7 +87,7 @@
     )
 
 
-def test_a_whole_data_centre_that_starts_at_once_meets_in_seconds():
+def test_simultaneous_start_of_a_data_centre_converges():
     network = FakeNetwork(96)
 
     assert network.run_until(network.is_whole, 60_000) < 12_000
--- a/tests/test_control_silent.py
+++ b/tests/test_control_silent.py
@@ -1,4 +1,4 @@
-"""Links between nodes that swallow what is sent, while new links work."""
+"""Links that silently drop messages, while new links work."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("chosen", SILENCES.values(), ids=SILENCES.keys())
-def test_silent_links_are_replaced_and_nobody_is_suspected(chosen, seed):
+def test_silent_links_are_replaced_without_suspicions(chosen, seed):
     network = FakeNetwork(COUNT, seed=seed)
     network.run_until(network.is_whole, 60_000)
     network.run(30_000)
