--- a/azurestep/control/relay.py
+++ b/azurestep/control/relay.py
@@ -19,8 +19,8 @@
 from .packing import pack_records, unpack_records
 from .ring import children
 
-KEPT_MAXIMUM_RECORDS = 4000
-PULL_MAXIMUM_RECORDS = 500
+MAX_KEPT_RECORDS = 4000
+MAX_RECORDS_PER_PULL = 500
 PULL_INTERVAL_MS = 10_000
 BATCH_DELAY_MS = 1000
 BATCHED_KINDS = frozenset({"extend", "checkpoint"})
@@ -39,9 +39,9 @@
         self._membership = membership
         self._settings = settings
         self._random = source
-        self._kept: deque[RelayedRecord] = deque(maxlen=KEPT_MAXIMUM_RECORDS)
+        self._kept: deque[RelayedRecord] = deque(maxlen=MAX_KEPT_RECORDS)
         self._next_offset = FIRST_OFFSET
-        self._has_heard = False
+        self._is_initialised = False
         self._has_regressed = False
         self._next_pull_ms = 0.0
         self._batch: list[RelayedRecord] = []
@@ -52,7 +52,7 @@
         """Offset of the first record not known here."""
         return self._next_offset
 
-    def take_page(
+    def apply_page(
         self, page: Page, now_ms: float, is_first_reader: bool
     ) -> list[Output]:
         """Take records that this node read from the log itself.
@@ -68,7 +68,7 @@
             for record in page.records
             if record.offset >= self._next_offset
         ]
-        outputs = self._accept(from_offset, records)
+        outputs = self._append(from_offset, records)
         if records and is_first_reader:
             self._batch.extend(records)
             self._batch_due_ms = min(self._batch_due_ms, now_ms + BATCH_DELAY_MS)
@@ -84,10 +84,10 @@
         push = RecordsPush(root, records[0].offset, self._next_offset, packed)
         return self._forward(push)
 
-    def _accept(self, from_offset: int, records: list[RelayedRecord]) -> list[Output]:
-        if self._has_heard and not records and from_offset <= self._next_offset:
+    def _append(self, from_offset: int, records: list[RelayedRecord]) -> list[Output]:
+        if self._is_initialised and not records and from_offset <= self._next_offset:
             return []
-        self._has_heard = True
+        self._is_initialised = True
         self._kept.extend(records)
         self._next_offset = records[-1].offset + 1 if records else from_offset
         return [RecordsRelayed(from_offset, self._next_offset, tuple(records))]
@@ -116,7 +116,9 @@
             return self._flush()
         if now_ms < self._next_pull_ms:
             return []
-        interval_ms = PULL_INTERVAL_MS if self._has_heard else FIRST_PULL_INTERVAL_MS
+        interval_ms = (
+            PULL_INTERVAL_MS if self._is_initialised else FIRST_PULL_INTERVAL_MS
+        )
         self._next_pull_ms = now_ms + interval_ms * self._random.uniform(0.8, 1.2)
         own = self._membership.own.instance
         pull = RecordsPull(self._next_offset)
@@ -141,21 +143,21 @@
         records = unpack_records(message.packed)
         fresh = [r for r in records if r.offset >= self._next_offset]
         from_offset = max(self._next_offset, message.from_offset)
-        outputs = self._accept(from_offset, fresh)
+        outputs = self._append(from_offset, fresh)
         if fresh and message.root:
             outputs.extend(self._forward(message))
-        if not message.root and len(records) >= PULL_MAXIMUM_RECORDS:
+        if not message.root and len(records) >= MAX_RECORDS_PER_PULL:
             outputs.append(Send(sender.address, RecordsPull(self._next_offset)))
         return outputs
 
     @handle.register
     def _(self, message: RecordsPull, sender: Sender, now_ms: float) -> list[Output]:
-        if not self._has_heard:
+        if not self._is_initialised:
             return []
         first = self._kept[0].offset if self._kept else self._next_offset
         from_offset = max(first, message.from_offset)
         found = [r for r in self._kept if r.offset >= from_offset]
-        records = found[:PULL_MAXIMUM_RECORDS]
+        records = found[:MAX_RECORDS_PER_PULL]
         next_offset = records[-1].offset + 1 if records else self._next_offset
         reply = RecordsPush("", from_offset, next_offset, pack_records(records))
         return [Send(sender.address, reply)]
--- a/azurestep/control/reports.py
+++ b/azurestep/control/reports.py
@@ -13,8 +13,8 @@
 from .outputs import Output
 from .updates import DataCentreReport
 
-MISSING_MAXIMUM = 16
-VERSIONS_KEPT = 16
+MAX_MISSING_INSTANCES = 16
+MAX_TALLIES = 16
 REPORT_INTERVAL_MS = 200
 PARTIAL_REPORT_DELAY_MS = 2000
 
@@ -44,7 +44,7 @@
         bridges = self._membership.bridges()
         return bridges[0] if bridges else None
 
-    def take(self, applied: Applied) -> None:
+    def record_applied(self, applied: Applied) -> None:
         """Count the applications of a message."""
         version = applied.digest.version
         tally = self._tallies.get(version)
@@ -54,7 +54,7 @@
         tally.instances.update(applied.instances)
         tally.first_ms = min(tally.first_ms, applied.first_ms)
         tally.last_ms = max(tally.last_ms, applied.last_ms)
-        while len(self._tallies) > VERSIONS_KEPT:
+        while len(self._tallies) > MAX_TALLIES:
             del self._tallies[min(self._tallies)]
 
     def tick(self, now_ms: float, digest: Digest) -> list[Output]:
@@ -97,7 +97,7 @@
             digest.hash,
             len(order),
             len(order) - len(missing),
-            missing[:MISSING_MAXIMUM],
+            missing[:MAX_MISSING_INSTANCES],
             tally.first_ms,
             tally.last_ms,
             [member.address for member in members if member is not None],
--- a/azurestep/control/spread.py
+++ b/azurestep/control/spread.py
@@ -36,13 +36,13 @@
 from .reports import Reporter
 from .ring import children, parent
 
-HISTORY_VERSIONS = 8
+MAX_HISTORY_VERSIONS = 8
 PULL_TIMEOUT_MS = 1500
 SNAPSHOTS_PER_SECOND = 20
 SNAPSHOT_BURST = 10
 APPLIED_DELAY_MS = 150
-LATER_MINIMUM_MS = 200
-STAND_IN_DELAY_MS = 1000
+MIN_RETRY_AFTER_MS = 200
+BACKUP_PUSH_DELAY_MS = 1000
 
 
 @attrs.define
@@ -52,17 +52,17 @@
     rate_per_s: float
     burst: float
     _tokens: float = attrs.field(init=False)
-    _at_ms: float = 0.0
+    _refilled_ms: float = 0.0
 
     def __attrs_post_init__(self) -> None:
         self._tokens = self.burst
 
     def take(self, now_ms: float) -> bool:
         """Take a token if there is one."""
-        elapsed_ms = max(0.0, now_ms - self._at_ms)
+        elapsed_ms = max(0.0, now_ms - self._refilled_ms)
         refilled = self._tokens + elapsed_ms / 1000 * self.rate_per_s
         self._tokens = min(self.burst, refilled)
-        self._at_ms = now_ms
+        self._refilled_ms = now_ms
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen
-class StandIn:
+class BackupPush:
     """A push that is due if the first reader's does not come."""
 
     base: Document
@@ -107,13 +107,13 @@
         self._wall_ms = wall_ms
         self._history: OrderedDict[bytes, Document] = OrderedDict()
         self._snapshots = TokenBucket(SNAPSHOTS_PER_SECOND, SNAPSHOT_BURST)
-        self._pull_until_ms = 0.0
+        self._next_pull_ms = 0.0
         self._applied: Applied | None = None
         self._applied_to: str | None = None
         self._applied_due_ms = 0.0
         self._applied_ms = 0
         self._reported_to: str | None = None
-        self._stand_in: StandIn | None = None
+        self._backup_push: BackupPush | None = None
         self._forwarded_roots: set[str] = set()
 
     @property
@@ -124,7 +124,7 @@
 
     # -- the log -------------------------------------------------------------
 
-    def take_page(
+    def apply_page(
         self, page: Page, now_ms: float, is_first_reader: bool = True
     ) -> list[Output]:
         """Take records that this node read from the log itself.
@@ -142,7 +142,9 @@
         if versions and is_first_reader:
             outputs.extend(self._push(self._membership.own.instance, before.document))
         elif versions:
-            self._stand_in = StandIn(before.document, now_ms + STAND_IN_DELAY_MS)
+            self._backup_push = BackupPush(
+                before.document, now_ms + BACKUP_PUSH_DELAY_MS
+            )
         return outputs
 
     # -- applying and passing on --------------------------------------------
@@ -150,27 +152,27 @@
     def _apply(
         self, before: Document, now_ms: float, parent_name: str | None
     ) -> list[Output]:
-        self._remember(before)
+        self._add_to_history(before)
         self._forwarded_roots.clear()
         self._membership.digest = self.digest
         self._applied_ms = self._wall_ms()
-        self._note_applied(now_ms, parent_name)
+        self._schedule_applied(now_ms, parent_name)
         return [VersionApplied(self.fold.state.version)]
 
-    def _note_applied(self, now_ms: float, parent_name: str | None) -> None:
+    def _schedule_applied(self, now_ms: float, parent_name: str | None) -> None:
         own = self._membership.own.instance
         at_ms = self._applied_ms
         self._applied = Applied(self.digest, [own], at_ms, at_ms)
         self._applied_to = parent_name
         self._applied_due_ms = now_ms + APPLIED_DELAY_MS
 
-    def _remember(self, document: Document) -> None:
+    def _add_to_history(self, document: Document) -> None:
         self._history[document.hash] = document
-        while len(self._history) > HISTORY_VERSIONS:
+        while len(self._history) > MAX_HISTORY_VERSIONS:
             self._history.popitem(last=False)
 
     def _push(self, root: str, base: Document) -> list[Output]:
-        return self._send_down(Push(root, self._delta_from(base)))
+        return self._send_to_children(Push(root, self._delta_from(base)))
 
     def _forward(self, message: Push) -> list[Output]:
         """Pass on a version that came here by another way, once for each tree.
@@ -180,9 +182,9 @@
         """
         if message.root in self._forwarded_roots:
             return []
-        return self._send_down(message)
+        return self._send_to_children(message)
 
-    def _send_down(self, message: Push) -> list[Output]:
+    def _send_to_children(self, message: Push) -> list[Output]:
         self._forwarded_roots.add(message.root)
         names = children(
             self._membership.order,
@@ -210,27 +212,27 @@
         if self._applied is not None and now_ms >= self._applied_due_ms:
             applied, self._applied = self._applied, None
             outputs.extend(self._report(applied))
-        self._follow_reporter(now_ms)
-        if self._stand_in is not None and now_ms >= self._stand_in.due_ms:
-            base, self._stand_in = self._stand_in.base, None
+        self._check_reporter(now_ms)
+        if self._backup_push is not None and now_ms >= self._backup_push.due_ms:
+            base, self._backup_push = self._backup_push.base, None
             outputs.extend(self._push(self._membership.own.instance, base))
         outputs.extend(self.reporter.tick(now_ms, self.digest))
         return outputs
 
-    def _follow_reporter(self, now_ms: float) -> None:
+    def _check_reporter(self, now_ms: float) -> None:
         """Tell a new reporter what is in force here, since it can't know."""
         reporter = self.reporter.instance()
         if reporter == self._reported_to:
             return
         self._reported_to = reporter
         if self.fold.state.version and self._applied is None:
-            self._note_applied(now_ms, None)
+            self._schedule_applied(now_ms, None)
 
     def _report(self, applied: Applied) -> list[Output]:
         to = self._applied_to or self.reporter.instance()
         member = self._membership.member(to) if to else None
         if member is None or to == self._membership.own.instance:
-            self.reporter.take(applied)
+            self.reporter.record_applied(applied)
             return []
         return [Send(member.address, applied)]
 
@@ -243,19 +245,21 @@
 
     @handle.register
     def _(self, message: Probe, sender: Sender, now_ms: float) -> list[Output]:
-        return self._hear(message.digest, sender.address, now_ms)
+        return self._compare_digest(message.digest, sender.address, now_ms)
 
     @handle.register
     def _(self, message: Ack, sender: Sender, now_ms: float) -> list[Output]:
-        return self._hear(message.digest, sender.address, now_ms)
+        return self._compare_digest(message.digest, sender.address, now_ms)
 
-    def _hear(self, digest: Digest, peer: Address, now_ms: float) -> list[Output]:
+    def _compare_digest(
+        self, digest: Digest, peer: Address, now_ms: float
+    ) -> list[Output]:
         own = self.digest
         if digest.version and digest.version == own.version and digest.hash != own.hash:
             return [VersionConflict(own.version, peer)]
-        if digest.version <= own.version or now_ms < self._pull_until_ms:
+        if digest.version <= own.version or now_ms < self._next_pull_ms:
             return []
-        self._pull_until_ms = now_ms + PULL_TIMEOUT_MS
+        self._next_pull_ms = now_ms + PULL_TIMEOUT_MS
         return [Send(peer, Pull(own))]
 
     @handle.register
@@ -264,35 +268,35 @@
             return []
         base = self._history.get(message.digest.hash)
         if base is None and not self._snapshots.take(now_ms):
-            wait_ms = LATER_MINIMUM_MS + self._random.randrange(1000)
+            wait_ms = MIN_RETRY_AFTER_MS + self._random.randrange(1000)
             return [Send(sender.address, Later(wait_ms))]
         return [Send(sender.address, PullReply(self._delta_from(base)))]
 
     @handle.register
     def _(self, message: PullReply, sender: Sender, now_ms: float) -> list[Output]:
-        self._pull_until_ms = 0.0
-        return self._take_delta(message.delta, sender, now_ms, parent_name=None)
+        self._next_pull_ms = 0.0
+        return self._apply_delta(message.delta, sender, now_ms, parent_name=None)
 
     @handle.register
     def _(self, message: Later, sender: Sender, now_ms: float) -> list[Output]:
-        self._pull_until_ms = now_ms + min(message.retry_after_ms, 10_000)
+        self._next_pull_ms = now_ms + min(message.retry_after_ms, 10_000)
         return []
 
     @handle.register
     def _(self, message: Push, sender: Sender, now_ms: float) -> list[Output]:
-        self._stand_in = None
+        self._backup_push = None
         if message.delta.version == self.fold.state.version:
             return self._forward(message)
         before = self.fold.state.document
         order = self._membership.order
         own = self._membership.own.instance
-        above = parent(order, message.root, own, self._settings.push_fan_out)
-        outputs = self._take_delta(message.delta, sender, now_ms, above)
+        parent_name = parent(order, message.root, own, self._settings.push_fan_out)
+        outputs = self._apply_delta(message.delta, sender, now_ms, parent_name)
         if any(isinstance(output, VersionApplied) for output in outputs):
             outputs.extend(self._push(message.root, before))
         return outputs
 
-    def _take_delta(
+    def _apply_delta(
         self, delta: Delta, sender: Sender, now_ms: float, parent_name: str | None
     ) -> list[Output]:
         before = self.fold.state
@@ -300,7 +304,7 @@
             return []
         adopted = self.fold.adopt(delta)
         if isinstance(adopted, Failure):
-            self._pull_until_ms = now_ms + PULL_TIMEOUT_MS
+            self._next_pull_ms = now_ms + PULL_TIMEOUT_MS
             return [Send(sender.address, Pull(self.digest))]
         outputs: list[Output] = [Folded(event) for event in adopted.unwrap()]
         outputs.extend(self._apply(before.document, now_ms, parent_name))
@@ -312,7 +316,7 @@
             self._applied = merge_applied(self._applied, message)
             return []
         if self._membership.own.instance == self.reporter.instance():
-            self.reporter.take(message)
+            self.reporter.record_applied(message)
             return []
         self._applied_to = None
         self._applied = message
--- a/azurestep/control/summaries.py
+++ b/azurestep/control/summaries.py
@@ -5,7 +5,7 @@
 from .updates import MemberStatus, ServerState, ServiceSummary
 
 SUMMARY_INTERVAL_MS = 200
-SERVERS_PER_SUMMARY = 64
+MAX_SERVERS_PER_SUMMARY = 64
 
 
 class Summarizer:
@@ -37,14 +37,16 @@
             if member.status == MemberStatus.ALIVE:
                 for server in member.servers:
                     servers.setdefault(server.service, []).append(server)
-        return [self._changed(name, found) for name, found in servers.items()]
+        return [self._make_if_changed(name, found) for name, found in servers.items()]
 
-    def _changed(
+    def _make_if_changed(
         self, service: str, servers: list[ServerState]
     ) -> ServiceSummary | None:
         own = self._membership.own.data_centre
         origin = self._membership.own.instance
-        listed = sorted(servers, key=lambda s: (s.host, s.port))[:SERVERS_PER_SUMMARY]
+        listed = sorted(servers, key=lambda s: (s.host, s.port))[
+            :MAX_SERVERS_PER_SUMMARY
+        ]
         held = self._membership.table.get(f"s/{own}/{service}")
         if not isinstance(held, ServiceSummary):
             return ServiceSummary(own, service, 1, origin, listed)
--- a/azurestep/control/table.py
+++ b/azurestep/control/table.py
@@ -15,7 +15,7 @@
     Update,
 )
 
-PASSING_MAXIMUM = 1024
+MAX_SUSPECT_REQUESTS = 1024
 Stamp = tuple[int, ...]
 
 
@@ -106,7 +106,7 @@
     """
 
     def __init__(self) -> None:
-        self._passing: OrderedDict[str, SuspectRequest] = OrderedDict()
+        self._suspect_requests: OrderedDict[str, SuspectRequest] = OrderedDict()
         self._updates: dict[str, Update] = {}
         self._by_hash: dict[int, str] = {}
         self._local_hash = 0
@@ -121,27 +121,27 @@
     def merge(self, update: Update) -> bool:
         """Take an update; return whether it was newer than the one held."""
         if isinstance(update, SuspectRequest):
-            return self._merge_passing(update)
+            return self._merge_suspect_request(update)
         key = key_of(update)
         held = self._updates.get(key)
         if held is not None and stamp_of(held) >= stamp_of(update):
             return False
         if held is not None:
-            self._toggle(held)
+            self._toggle_hash(held)
         self._updates[key] = update
         self._by_hash[key_hash(key)] = key
-        self._toggle(update)
+        self._toggle_hash(update)
         return True
 
-    def _merge_passing(self, update: SuspectRequest) -> bool:
+    def _merge_suspect_request(self, update: SuspectRequest) -> bool:
         key = key_of(update)
-        held = self._passing.get(key)
+        held = self._suspect_requests.get(key)
         if held is not None and held.stamp >= update.stamp:
             return False
-        self._passing[key] = update
-        self._passing.move_to_end(key)
-        if len(self._passing) > PASSING_MAXIMUM:
-            self._passing.popitem(last=False)
+        self._suspect_requests[key] = update
+        self._suspect_requests.move_to_end(key)
+        if len(self._suspect_requests) > MAX_SUSPECT_REQUESTS:
+            self._suspect_requests.popitem(last=False)
         return True
 
     def remove(self, key: str) -> None:
@@ -150,9 +150,9 @@
         if held is None:
             return
         self._by_hash.pop(key_hash(key), None)
-        self._toggle(held)
+        self._toggle_hash(held)
 
-    def _toggle(self, update: Update) -> None:
+    def _toggle_hash(self, update: Update) -> None:
         if not _is_hashed(update):
             return
         if is_global(update):
@@ -162,7 +162,7 @@
 
     def get(self, key: str) -> Update | None:
         """Return the update held for a key."""
-        return self._updates.get(key) or self._passing.get(key)
+        return self._updates.get(key) or self._suspect_requests.get(key)
 
     def by_hash(self, hashed: int) -> Update | None:
         """Return the update held for the short form of a key."""
--- a/azurestep/control/updates.py
+++ b/azurestep/control/updates.py
@@ -158,7 +158,7 @@
 
 
 @attrs.frozen
-class DeadServer:
+class CrashedServer:
     """A run of a backend server that died."""
 
     host: str
@@ -180,7 +180,7 @@
         Which request.
     stamp : int
         Order among what its origin says of it.
-    dead : list of DeadServer
+    dead : list of CrashedServer
         Backend servers that died with it in flight.
     refused_for_ms : int
         Rest of the refusal; 0 for a mere suspect.
@@ -191,7 +191,7 @@
     fingerprint: int
     origin: str
     stamp: int
-    dead: list[DeadServer]
+    dead: list[CrashedServer]
     refused_for_ms: int = 0
 
 
--- a/azurestep/node/control.py
+++ b/azurestep/node/control.py
@@ -249,7 +249,7 @@
 
     @_take.register
     def _(self, message: PageRead) -> list[Output]:
-        outputs = self.spread.take_page(
+        outputs = self.spread.apply_page(
             message.page, self._now_ms(), self.readers.is_first()
         )
         if not self.membership.own.log_reachable:
@@ -266,7 +266,7 @@
 
     @_take.register
     def _(self, message: OwnershipPageRead) -> list[Output]:
-        return self.relay.take_page(
+        return self.relay.apply_page(
             message.page, self._now_ms(), self.readers.is_first()
         )
 
--- a/azurestep/node/suspects.py
+++ b/azurestep/node/suspects.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from ..balancing import EndpointKey, QuarantineUpdate
-from ..control.updates import DeadServer, MemberState, SuspectRequest
+from ..control.updates import CrashedServer, MemberState, SuspectRequest
 from ..traffic.pool import QuarantineReport
 
 
@@ -12,7 +12,7 @@
 ) -> Iterator[SuspectRequest]:
     """Yield what peers are told of this node's quarantine."""
     for update in report.updates:
-        dead = [DeadServer(k.host, k.port, k.incarnation) for k in update.crashes]
+        dead = [CrashedServer(k.host, k.port, k.incarnation) for k in update.crashes]
         yield SuspectRequest(
             own.data_centre,
             report.service,
--- a/bench/fake_fleet.py
+++ b/bench/fake_fleet.py
@@ -159,7 +159,7 @@
             return
         follower.backoff.reset()
         is_first = self._readers(node)[:1] == [own.instance]
-        self.perform(node, follower.spread.take_page(page, self.now_ms, is_first))
+        self.perform(node, follower.spread.apply_page(page, self.now_ms, is_first))
         if not own.log_reachable:
             self.perform(node, node.membership.change_own(log_reachable=True))
 
--- a/tests/test_bench_counters.py
+++ b/tests/test_bench_counters.py
@@ -39,7 +39,7 @@
         version = spread.fold.state.version
         publication = Publication(f"p{offset}", version, "test", change)
         value = orjson.loads(encode_record(publication))
-        spread.take_page(Page(1, offset + 1, [LogRecord(offset, 0, value)]), 0.0)
+        spread.apply_page(Page(1, offset + 1, [LogRecord(offset, 0, value)]), 0.0)
     return spread._delta_from(base)
 
 
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -447,7 +447,13 @@
     updates.ServiceSummary("kgn1", "songs", 4, "a.1", [SERVER]),
     REPORT,
     updates.SuspectRequest(
-        "kgn1", "songs", 99, "a.1", 7, [updates.DeadServer("10.0.0.1", 9000, 3)], 5000
+        "kgn1",
+        "songs",
+        99,
+        "a.1",
+        7,
+        [updates.CrashedServer("10.0.0.1", 9000, 3)],
+        5000,
     ),
 ]
 KEPT = deciding.KeptAnswer(200, (deciding.Header("ETag", "x"),), b"\xffok", True)
--- a/tests/test_spread_two_readers.py
+++ b/tests/test_spread_two_readers.py
@@ -58,7 +58,7 @@
     queue = []
     for rank, reader in enumerate(source.sample(range(NODES), 2)):
         is_first = rank < believe_to_be_first
-        sends = nodes[reader].take_page(_page(), 0.0, is_first_reader=is_first)
+        sends = nodes[reader].apply_page(_page(), 0.0, is_first_reader=is_first)
         queue.extend((reader, s) for s in sends if isinstance(s, Send))
     pushes = 0
     while queue:
--- a/tests/test_suspect_requests.py
+++ b/tests/test_suspect_requests.py
@@ -56,4 +56,4 @@
     for fingerprint in range(3000):
         report = QuarantineReport("s", [QuarantineUpdate(fingerprint, KEYS, 1)])
         table.merge(next(suspect_updates(report, control.membership.own, 1)))
-    assert len(table._passing) == 1024
+    assert len(table._suspect_requests) == 1024
