--- a/azurestep/control/relay.py
+++ b/azurestep/control/relay.py
@@ -1,7 +1,7 @@
-"""Relay of the ownership stream from the readers to every node.
+"""Relay of the ownership stream from the log readers to all nodes.
 
-Few nodes read the platform's log, but every node has to know who owns a slot. The
-first reader pushes what it read down a tree; a node that missed a part pulls it.
+Few nodes read the platform's log, but all need to know the owner of each slot. The
+first reader pushes new records down a tree; a node that missed some pulls them.
 """
 
 import math
@@ -28,7 +28,7 @@
 
 
 class LogRelay:
-    """Holds the newest records of the ownership stream at one node."""
+    """Keeps the latest records of the ownership stream and forwards them."""
 
     def __init__(
         self,
@@ -49,16 +49,16 @@
 
     @property
     def next_offset(self) -> int:
-        """Offset of the first record not known here."""
+        """Offset of the next record that this node expects."""
         return self._next_offset
 
     def apply_page(
         self, page: Page, now_ms: float, is_first_reader: bool
     ) -> list[Output]:
-        """Take records that this node read from the log itself.
+        """Apply records that this node read from the log.
 
-        The first reader pushes extensions in batches, since they come long before
-        they are needed; a slot that changes its owner is told at once.
+        The first reader batches lease extensions, which are written well before a
+        lease expires; changes of ownership are pushed immediately.
         """
         if page.next_offset < page.from_offset:
             return self._regress(self._membership.own.instance)
@@ -111,7 +111,7 @@
     def tick(
         self, now_ms: float, reader: str | None, is_log_reachable: bool
     ) -> list[Output]:
-        """Ask for what was missed: the first reader, or another data centre."""
+        """Push a due batch, or pull missed records from a reader or a remote node."""
         if now_ms >= self._batch_due_ms:
             return self._flush()
         if now_ms < self._next_pull_ms:
@@ -131,7 +131,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, sender: Sender, now_ms: float) -> list[Output]:
-        """Take a message; messages of other decisions are ignored."""
+        """Handle a message; kinds not registered here are ignored."""
         return []
 
     @handle.register
--- a/azurestep/control/reports.py
+++ b/azurestep/control/reports.py
@@ -1,7 +1,7 @@
-"""Reports: which version is in force in the data centre.
+"""Reports of the configuration version in force in a data centre.
 
-The first bridge of the data centre collects who applied a version and publishes
-the count to the whole fleet.
+The first bridge of a data centre counts the instances that applied a version and
+broadcasts the result to all data centres.
 """
 
 from collections import OrderedDict
@@ -21,7 +21,7 @@
 
 @attrs.define
 class Tally:
-    """Who applied a version."""
+    """Instances that applied a version, and when the first and the last did."""
 
     hash: bytes
     instances: set[str] = attrs.field(factory=set)
@@ -30,7 +30,7 @@
 
 
 class Reporter:
-    """Collects applications and publishes the data centre's report."""
+    """Counts instances that applied a version and publishes the report."""
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
@@ -40,12 +40,12 @@
         self._version_ms = 0.0
 
     def instance(self) -> str | None:
-        """Return the instance that collects for this data centre."""
+        """Return the instance that reports for this data centre, if there is one."""
         bridges = self._membership.bridges()
         return bridges[0] if bridges else None
 
     def record_applied(self, applied: Applied) -> None:
-        """Count the applications of a message."""
+        """Add the instances of an ``Applied`` message to the tally of its version."""
         version = applied.digest.version
         tally = self._tallies.get(version)
         if tally is None:
@@ -58,10 +58,10 @@
             del self._tallies[min(self._tallies)]
 
     def tick(self, now_ms: float, digest: Digest) -> list[Output]:
-        """Publish the report when it changed.
+        """Publish the report if it changed.
 
-        A version that not everyone applied yet is given time, so that a change
-        usually brings one report.
+        While some members have not applied a new version, its report is delayed,
+        so that a version change usually causes a single report.
         """
         if now_ms < self._next_ms:
             return []
--- a/azurestep/control/spread.py
+++ b/azurestep/control/spread.py
@@ -1,9 +1,8 @@
-"""Spreading: how a version reaches every node.
+"""Distribution of configuration versions to every node.
 
-A pure decision around the fold. A version is pushed down a tree that every node
-derives from the same members, as a delta against the version before; whoever
-was missed hears a newer digest on a probe and pulls. Applications are counted up
-the same tree.
+A version is pushed as a delta down a tree that every node derives from the member
+list. A node that missed a push sees a newer digest in a probe or an ack and pulls.
+Counts of nodes that applied the version are sent back up the tree. Performs no I/O.
 """
 
 import random
@@ -40,14 +39,14 @@
 PULL_TIMEOUT_MS = 1500
 SNAPSHOTS_PER_SECOND = 20
 SNAPSHOT_BURST = 10
-APPLIED_DELAY_MS = 150
+APPLIED_DELAY_MS = 150  # lets the counts of the subtree arrive first
 MIN_RETRY_AFTER_MS = 200
 BACKUP_PUSH_DELAY_MS = 1000
 
 
 @attrs.define
 class TokenBucket:
-    """Limits a rate; tokens come back with time."""
+    """Token bucket that limits a rate and allows bursts."""
 
     rate_per_s: float
     burst: float
@@ -58,7 +57,7 @@
         self._tokens = self.burst
 
     def take(self, now_ms: float) -> bool:
-        """Take a token if there is one."""
+        """Take a token; return whether one was available."""
         elapsed_ms = max(0.0, now_ms - self._refilled_ms)
         refilled = self._tokens + elapsed_ms / 1000 * self.rate_per_s
         self._tokens = min(self.burst, refilled)
@@ -71,25 +70,25 @@
 
 @attrs.frozen
 class BackupPush:
-    """A push that is due if the first reader's does not come."""
+    """A push to send if the first reader's push does not arrive in time."""
 
     base: Document
     due_ms: float
 
 
 class Spread:
-    """Keeps the configuration of one node and passes it on.
+    """Holds the configuration of one node and distributes it to others.
 
     Parameters
     ----------
     membership : Membership
-        Members that the tree is derived from.
+        Members from which the push tree is derived.
     settings : ControlSettings
-        Fan-out and whether versions are pushed at all.
+        Fan-out of the tree (0 disables pushes), and whether deltas are sent.
     source : random.Random
         Source of jitter.
     wall_ms : callable
-        Returns wall-clock time, for reports only.
+        Returns wall-clock time in milliseconds, for reports only.
     """
 
     def __init__(
@@ -118,7 +117,7 @@
 
     @property
     def digest(self) -> Digest:
-        """Which configuration the node holds."""
+        """Version and hash of the configuration in force at this node."""
         state = self.fold.state
         return Digest(state.version, state.document.hash)
 
@@ -127,10 +126,10 @@
     def apply_page(
         self, page: Page, now_ms: float, is_first_reader: bool = True
     ) -> list[Output]:
-        """Take records that this node read from the log itself.
+        """Apply records that this node read from the log.
 
-        The first reader pushes at once; another one waits for that push and
-        steps in if it does not come.
+        The first reader pushes immediately; any other reader pushes only if the
+        first reader's push does not arrive in time.
         """
         before = self.fold.state
         events = self.fold.apply_page(page)
@@ -147,7 +146,7 @@
             )
         return outputs
 
-    # -- applying and passing on --------------------------------------------
+    # -- applying and forwarding --------------------------------------------
 
     def _apply(
         self, before: Document, now_ms: float, parent_name: str | None
@@ -175,10 +174,10 @@
         return self._send_to_children(Push(root, self._delta_from(base)))
 
     def _forward(self, message: Push) -> list[Output]:
-        """Pass on a version that came here by another way, once for each tree.
+        """Forward a push of the version in force, once for each tree.
 
-        A node that got it down the tree of one reader still stands between the
-        root and the leaves of the other reader's tree.
+        If two readers push the same version, this node has different children in
+        each of the two trees.
         """
         if message.root in self._forwarded_roots:
             return []
@@ -207,7 +206,7 @@
     # -- time ----------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[Output]:
-        """Send the count of applications once the subtree had time to answer."""
+        """Send the messages that are due: applied counts, backup push, report."""
         outputs: list[Output] = []
         if self._applied is not None and now_ms >= self._applied_due_ms:
             applied, self._applied = self._applied, None
@@ -220,7 +219,7 @@
         return outputs
 
     def _check_reporter(self, now_ms: float) -> None:
-        """Tell a new reporter what is in force here, since it can't know."""
+        """Send the version in force to a new reporter, which has no counts yet."""
         reporter = self.reporter.instance()
         if reporter == self._reported_to:
             return
@@ -240,7 +239,7 @@
 
     @singledispatchmethod
     def handle(self, message: Message, sender: Sender, now_ms: float) -> list[Output]:
-        """Take a message; messages of other decisions are ignored."""
+        """Handle a message; kinds not registered here are ignored."""
         return []
 
     @handle.register
@@ -325,7 +324,7 @@
 
 
 def merge_applied(one: Applied, other: Applied) -> Applied:
-    """Return the applications of two subtrees together."""
+    """Return the union of the instances that two subtrees report as applied."""
     instances = sorted(set(one.instances) | set(other.instances))
     return Applied(
         one.digest,
--- a/azurestep/control/summaries.py
+++ b/azurestep/control/summaries.py
@@ -1,4 +1,4 @@
-"""Summaries: which backend servers a data centre offers to the others."""
+"""Summaries of the backend servers that a data centre offers to remote ones."""
 
 from .membership import Membership
 from .outputs import Output
@@ -9,7 +9,7 @@
 
 
 class Summarizer:
-    """Publishes the summaries of a data centre; its first bridge does so."""
+    """Publishes the summaries of a data centre if this node is its first bridge."""
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
--- a/azurestep/control/table.py
+++ b/azurestep/control/table.py
@@ -1,4 +1,4 @@
-"""The replicated table of updates: the newest stamp of each key wins."""
+"""Replicated table of updates; the highest stamp of each key wins."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Iterator
@@ -21,19 +21,19 @@
 
 @singledispatch
 def key_of(update: Update) -> str:
-    """Return what an update is about."""
+    """Return the table key of an update."""
     raise TypeError(f"{type(update).__name__} is no update")
 
 
 @singledispatch
 def stamp_of(update: Update) -> Stamp:
-    """Return the order of an update among those about the same key."""
+    """Return the stamp that orders the updates of one key."""
     raise TypeError(f"{type(update).__name__} is no update")
 
 
 @singledispatch
 def is_global(update: Update) -> bool:
-    """Whether an update is spread to the other data centres."""
+    """Whether an update is sent to remote data centres."""
     return True
 
 
@@ -83,7 +83,7 @@
 
 
 def key_hash(key: str) -> int:
-    """Return the short form of a key, for digests."""
+    """Return a 32-bit hash of a key, as used in digests."""
     return xxhash.xxh3_64_intdigest(key.encode()) >> 32
 
 
@@ -93,16 +93,15 @@
 
 
 def _is_hashed(update: Update) -> bool:
-    # Nodes forget departed members at different times.
+    # Nodes expire members that left or died at different times.
     return not isinstance(update, MemberState) or update.status in LIVE
 
 
 class UpdateTable:
-    """Updates by key, with a running hash over the local and global ones.
+    """Updates by key, with incremental hashes of the local and global ones.
 
-    Suspect requests are passing news: they are kept apart, bounded, and neither
-    hashed nor brought up to date by comparing tables, which would renew their
-    refusal for ever.
+    Suspect requests are kept separately in bounded number. They are neither hashed
+    nor synchronised by table comparison, which would renew their refusal forever.
     """
 
     def __init__(self) -> None:
@@ -113,13 +112,13 @@
         self._global_hash = 0
 
     def hash(self, only_global: bool) -> int:
-        """Return the hash over the table, or over its global part."""
+        """Return the hash of the whole table or of its global updates."""
         if only_global:
             return self._global_hash
         return self._global_hash ^ self._local_hash
 
     def merge(self, update: Update) -> bool:
-        """Take an update; return whether it was newer than the one held."""
+        """Store an update if it is newer; return whether it was stored."""
         if isinstance(update, SuspectRequest):
             return self._merge_suspect_request(update)
         key = key_of(update)
@@ -145,7 +144,7 @@
         return True
 
     def remove(self, key: str) -> None:
-        """Forget a key."""
+        """Remove a key, if present."""
         held = self._updates.pop(key, None)
         if held is None:
             return
@@ -161,16 +160,16 @@
             self._local_hash ^= _item_hash(update)
 
     def get(self, key: str) -> Update | None:
-        """Return the update held for a key."""
+        """Return the update stored for a key."""
         return self._updates.get(key) or self._suspect_requests.get(key)
 
     def by_hash(self, hashed: int) -> Update | None:
-        """Return the update held for the short form of a key."""
+        """Return the update whose key has this hash."""
         key = self._by_hash.get(hashed)
         return None if key is None else self._updates.get(key)
 
     def updates(self, only_global: bool = False) -> Iterator[Update]:
-        """Iterate over the updates held."""
+        """Iterate over the updates, without suspect requests."""
         held: Iterable[Update] = list(self._updates.values())
         return (u for u in held if not only_global or is_global(u))
 
--- a/azurestep/control/updates.py
+++ b/azurestep/control/updates.py
@@ -1,7 +1,7 @@
-"""What nodes tell each other of themselves, spread by gossip and broadcasts.
+"""Records that nodes replicate by gossip and broadcasts.
 
-Updates travel as positional arrays inside messages; a new field goes to the end
-of a class and has a default.
+Updates are encoded as positional arrays; a new field must go to the end of its
+class and have a default.
 """
 
 from enum import IntEnum
@@ -12,7 +12,7 @@
 
 
 class MemberStatus(IntEnum):
-    """What is believed of a member; a higher value wins at the same stamp."""
+    """Status of a member; the higher value wins between equal stamps."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -32,26 +32,26 @@
 
 @attrs.frozen
 class ServerState:
-    """A backend server as its node announces it.
+    """A backend server as announced by its node.
 
     Attributes
     ----------
     service : str
-        Service that it belongs to.
+        Service that it provides.
     host, port : str, int
-        Where it takes requests.
+        Address at which it accepts requests.
     incarnation : str
-        Name of this run of its process.
+        Identifier of this run of the process.
     slots : int
-        Requests that it runs at once.
+        Maximum number of concurrent requests.
     status : int
         A ``ServerStatus``.
     instance : str
         Instance that it runs on.
     node_run : str
-        Random name of this run of the node beside it.
+        Random identifier of this run of its node.
     control_port : int
-        Control port of that node, on the same IP number.
+        Control port of that node, at the same IP address.
     """
 
     service: str
@@ -67,22 +67,22 @@
 
 @attrs.frozen
 class MemberState:
-    """A member and what it announces; gossiped inside its data centre.
+    """State of a member; gossiped within its data centre.
 
     Attributes
     ----------
     instance, data_centre, region : str
-        Identity and place.
+        Identity and location.
     incarnation : int
         Start of the process in milliseconds since the epoch.
     sequence : int
-        Counts the changes that the member itself made to this record.
+        Number of changes that the member itself made to this record.
     status : int
         A ``MemberStatus``.
     host, control_port, operator_port : str, int, int
         Addresses.
     servers : list of ServerState
-        Backend servers beside the node.
+        Backend servers of the same instance.
     log_reachable : bool
         Whether the member's last read of the platform's log succeeded.
     """
@@ -107,14 +107,14 @@
 
 @attrs.frozen
 class ServiceSummary:
-    """Backend servers of a service in one data centre, for the others.
+    """Backend servers of a service in one data centre, for remote ones.
 
     Attributes
     ----------
     stamp : int
-        Counts the changes.
+        Number of changes so far.
     origin : str
-        Instance that made it; it breaks ties between equal stamps.
+        Instance that published it; breaks ties between equal stamps.
     """
 
     data_centre: str
@@ -126,20 +126,20 @@
 
 @attrs.frozen
 class DataCentreReport:
-    """Which version is in force in a data centre, and where to reach it.
+    """Version in force in a data centre, and addresses to contact it.
 
     Attributes
     ----------
     stamp, origin : int, str
-        Order among the reports, and who made it.
+        Order of the reports, and the instance that published this one.
     version, hash : int, bytes
         Version that the report is about.
     members, in_force : int
-        Live members, and those that applied the version.
+        Number of live members, and of those that applied the version.
     missing : list of str
-        Some of the instances that have not applied it.
+        Instances that have not applied it; the list is limited in length.
     first_ms, last_ms : int
-        Wall-clock time of the first and the last application known.
+        Wall-clock times at which the first and the last instance applied it.
     contacts : list of Address
         Control addresses of the data centre's bridges.
     """
@@ -159,7 +159,7 @@
 
 @attrs.frozen
 class CrashedServer:
-    """A run of a backend server that died."""
+    """A run of a backend server that crashed."""
 
     host: str
     port: int
@@ -168,22 +168,22 @@
 
 @attrs.frozen
 class SuspectRequest:
-    """A request in flight on backend servers as they died.
+    """A request that was in flight at backend servers when they crashed.
 
     Attributes
     ----------
     data_centre, origin : str
-        Where it was noticed.
+        Data centre and instance that detected it.
     service : str
         Service that the request went to.
     fingerprint : int
-        Which request.
+        Hash that identifies the request.
     stamp : int
-        Order among what its origin says of it.
+        Order of the updates that its origin published about it.
     dead : list of CrashedServer
-        Backend servers that died with it in flight.
+        Backend servers that crashed while it was in flight.
     refused_for_ms : int
-        Rest of the refusal; 0 for a mere suspect.
+        Remaining time for which it is refused; 0 if it is only suspected.
     """
 
     data_centre: str
--- a/tests/test_control_versions.py
+++ b/tests/test_control_versions.py
@@ -1,4 +1,4 @@
-"""Programs of neighbouring versions live together during a rolling upgrade."""
+"""Nodes of adjacent program versions interoperate during a rolling upgrade."""
 
 import msgpack
 import pytest
@@ -15,19 +15,19 @@
 UNKNOWN_KIND = 99
 
 
-def changed(message, change):
+def decode_changed(message, change):
     number, sender, fields = msgpack.unpackb(encode(SENDER, message))
     change(fields)
     return decode(msgpack.packb([number, [*sender, "new"], fields])).message
 
 
-def test_fields_of_a_newer_program_are_cut():
+def test_unknown_trailing_fields_are_ignored():
     probe = Probe(7, Digest(1, b"h"), 5, [MEMBER])
 
-    assert changed(probe, lambda fields: fields.append("new")) == probe
+    assert decode_changed(probe, lambda fields: fields.append("new")) == probe
 
 
-def test_unknown_update_is_passed_over_and_the_others_are_kept():
+def test_unknown_update_is_skipped_and_the_others_are_kept():
     probe = Probe(7, Digest(1, b"h"), 5, [MEMBER])
     reply = SyncReply([MEMBER], [3])
 
@@ -41,18 +41,18 @@
     def add_last(fields):
         fields[-1].insert(0, [UNKNOWN_KIND, ["new"]])
 
-    assert changed(probe, add_last) == probe
-    assert changed(reply, add_first) == reply
+    assert decode_changed(probe, add_last) == probe
+    assert decode_changed(reply, add_first) == reply
 
 
-def test_unknown_message_is_refused_as_malformed():
+def test_unknown_message_is_rejected_as_malformed():
     frame = msgpack.packb([UNKNOWN_KIND, ["n1", "k", 1, "127.0.0.1", 1], []])
 
     with pytest.raises(MessageMalformedError):
         decode(frame)
 
 
-def test_unknown_field_of_a_configuration_keeps_the_hash_equal(fake_log):
+def test_unknown_configuration_field_does_not_change_the_hash(fake_log):
     older, newer = ConfigurationFold(), ConfigurationFold()
     fake_log.publish("first", 0, initial_change())
     fake_log.publish("next", 1, timeout_change(1100, weather="rain"))
--- a/tests/test_fold_readers.py
+++ b/tests/test_fold_readers.py
@@ -1,4 +1,4 @@
-"""Any two readers of one log agree on every version that both hold."""
+"""All readers of a log compute the same document for the same version."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
--- a/tests/test_spread_two_readers.py
+++ b/tests/test_spread_two_readers.py
@@ -1,4 +1,4 @@
-"""Two readers of a data centre read the same version at the same time."""
+"""Every node gets a version that two readers read at the same time."""
 
 import random
 
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("believe_to_be_first", [1, 2])
-def test_two_readers_leave_nobody_out(nodes, seed, believe_to_be_first):
+def test_two_concurrent_readers_reach_every_node(nodes, seed, believe_to_be_first):
     source = random.Random(seed)
     queue = []
     for rank, reader in enumerate(source.sample(range(NODES), 2)):
