--- a/azurestep/control/reports.py
+++ b/azurestep/control/reports.py
@@ -1,7 +1,7 @@
-"""Reports: which version is in force in the data centre.
+"""Reports of the configuration version in force in a data centre.
 
-The first bridge of the data centre collects who applied a version and publishes
-the count to the whole fleet.
+The first bridge of a data centre counts the instances that applied a version and
+broadcasts the result to all data centres.
 """
 
 from collections import OrderedDict
@@ -13,15 +13,15 @@
 from .outputs import Output
 from .updates import DataCentreReport
 
-MISSING_MAXIMUM = 16
-VERSIONS_KEPT = 16
+MAX_MISSING_INSTANCES = 16
+MAX_TALLIES = 16
 REPORT_INTERVAL_MS = 200
 PARTIAL_REPORT_DELAY_MS = 2000
 
 
 @attrs.define
 class Tally:
-    """Who applied a version."""
+    """Instances that applied a version, and when the first and the last did."""
 
     hash: bytes
     instances: set[str] = attrs.field(factory=set)
@@ -30,7 +30,7 @@
 
 
 class Reporter:
-    """Collects applications and publishes the data centre's report."""
+    """Counts instances that applied a version and publishes the report."""
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
@@ -40,12 +40,12 @@
         self._version_ms = 0.0
 
     def instance(self) -> str | None:
-        """Return the instance that collects for this data centre."""
+        """Return the instance that reports for this data centre, if there is one."""
         bridges = self._membership.bridges()
         return bridges[0] if bridges else None
 
-    def take(self, applied: Applied) -> None:
-        """Count the applications of a message."""
+    def record_applied(self, applied: Applied) -> None:
+        """Add the instances of an ``Applied`` message to the tally of its version."""
         version = applied.digest.version
         tally = self._tallies.get(version)
         if tally is None:
@@ -54,14 +54,14 @@
         tally.instances.update(applied.instances)
         tally.first_ms = min(tally.first_ms, applied.first_ms)
         tally.last_ms = max(tally.last_ms, applied.last_ms)
-        while len(self._tallies) > VERSIONS_KEPT:
+        while len(self._tallies) > MAX_TALLIES:
             del self._tallies[min(self._tallies)]
 
     def tick(self, now_ms: float, digest: Digest) -> list[Output]:
-        """Publish the report when it changed.
+        """Publish the report if it changed.
 
-        A version that not everyone applied yet is given time, so that a change
-        usually brings one report.
+        While some members have not applied a new version, its report is delayed,
+        so that a version change usually causes a single report.
         """
         if now_ms < self._next_ms:
             return []
@@ -97,7 +97,7 @@
             digest.hash,
             len(order),
             len(order) - len(missing),
-            missing[:MISSING_MAXIMUM],
+            missing[:MAX_MISSING_INSTANCES],
             tally.first_ms,
             tally.last_ms,
             [member.address for member in members if member is not None],
--- a/azurestep/control/spread.py
+++ b/azurestep/control/spread.py
@@ -1,9 +1,8 @@
-"""Spreading: how a version reaches every node.
+"""Distribution of configuration versions to every node.
 
-A pure decision around the fold. A version is pushed down a tree that every node
-derives from the same members, as a delta against the version before; whoever
-was missed hears a newer digest on a probe and pulls. Applications are counted up
-the same tree.
+A version is pushed as a delta down a tree that every node derives from the member
+list. A node that missed a push sees a newer digest in a probe or an ack and pulls.
+Counts of nodes that applied the version are sent back up the tree. Performs no I/O.
 """
 
 import random
@@ -36,33 +35,33 @@
 from .reports import Reporter
 from .ring import children, parent
 
-HISTORY_VERSIONS = 8
+MAX_HISTORY_VERSIONS = 8
 PULL_TIMEOUT_MS = 1500
 SNAPSHOTS_PER_SECOND = 20
 SNAPSHOT_BURST = 10
-APPLIED_DELAY_MS = 150
-LATER_MINIMUM_MS = 200
-STAND_IN_DELAY_MS = 1000
+APPLIED_DELAY_MS = 150  # lets the counts of the subtree arrive first
+MIN_RETRY_AFTER_MS = 200
+BACKUP_PUSH_DELAY_MS = 1000
 
 
 @attrs.define
 class TokenBucket:
-    """Limits a rate; tokens come back with time."""
+    """Token bucket that limits a rate and allows bursts."""
 
     rate_per_s: float
     burst: float
     _tokens: float = attrs.field(init=False)
-    _at_ms: float = 0.0
+    _refilled_ms: float = 0.0
 
     def __attrs_post_init__(self) -> None:
         self._tokens = self.burst
 
     def take(self, now_ms: float) -> bool:
-        """Take a token if there is one."""
-        elapsed_ms = max(0.0, now_ms - self._at_ms)
+        """Take a token; return whether one was available."""
+        elapsed_ms = max(0.0, now_ms - self._refilled_ms)
         refilled = self._tokens + elapsed_ms / 1000 * self.rate_per_s
         self._tokens = min(self.burst, refilled)
-        self._at_ms = now_ms
+        self._refilled_ms = now_ms
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -70,26 +69,26 @@
 
 
 @attrs.frozen
-class StandIn:
-    """A push that is due if the first reader's does not come."""
+class BackupPush:
+    """A push to send if the first reader's push does not arrive in time."""
 
     base: Document
     due_ms: float
 
 
 class Spread:
-    """Keeps the configuration of one node and passes it on.
+    """Holds the configuration of one node and distributes it to others.
 
     Parameters
     ----------
     membership : Membership
-        Members that the tree is derived from.
+        Members from which the push tree is derived.
     settings : ControlSettings
-        Fan-out and whether versions are pushed at all.
+        Fan-out of the tree (0 disables pushes), and whether deltas are sent.
     source : random.Random
         Source of jitter.
     wall_ms : callable
-        Returns wall-clock time, for reports only.
+        Returns wall-clock time in milliseconds, for reports only.
     """
 
     def __init__(
@@ -107,30 +106,30 @@
         self._wall_ms = wall_ms
         self._history: OrderedDict[bytes, Document] = OrderedDict()
         self._snapshots = TokenBucket(SNAPSHOTS_PER_SECOND, SNAPSHOT_BURST)
-        self._pull_until_ms = 0.0
+        self._next_pull_ms = 0.0
         self._applied: Applied | None = None
         self._applied_to: str | None = None
         self._applied_due_ms = 0.0
         self._applied_ms = 0
         self._reported_to: str | None = None
-        self._stand_in: StandIn | None = None
+        self._backup_push: BackupPush | None = None
         self._forwarded_roots: set[str] = set()
 
     @property
     def digest(self) -> Digest:
-        """Which configuration the node holds."""
+        """Version and hash of the configuration in force at this node."""
         state = self.fold.state
         return Digest(state.version, state.document.hash)
 
     # -- the log -------------------------------------------------------------
 
-    def take_page(
+    def apply_page(
         self, page: Page, now_ms: float, is_first_reader: bool = True
     ) -> list[Output]:
-        """Take records that this node read from the log itself.
+        """Apply records that this node read from the log.
 
-        The first reader pushes at once; another one waits for that push and
-        steps in if it does not come.
+        The first reader pushes immediately; any other reader pushes only if the
+        first reader's push does not arrive in time.
         """
         before = self.fold.state
         events = self.fold.apply_page(page)
@@ -142,47 +141,49 @@
         if versions and is_first_reader:
             outputs.extend(self._push(self._membership.own.instance, before.document))
         elif versions:
-            self._stand_in = StandIn(before.document, now_ms + STAND_IN_DELAY_MS)
+            self._backup_push = BackupPush(
+                before.document, now_ms + BACKUP_PUSH_DELAY_MS
+            )
         return outputs
 
-    # -- applying and passing on --------------------------------------------
+    # -- applying and forwarding --------------------------------------------
 
     def _apply(
         self, before: Document, now_ms: float, parent_name: str | None
     ) -> list[Output]:
-        self._remember(before)
+        self._add_to_history(before)
         self._forwarded_roots.clear()
         self._membership.digest = self.digest
         self._applied_ms = self._wall_ms()
-        self._note_applied(now_ms, parent_name)
+        self._schedule_applied(now_ms, parent_name)
         return [VersionApplied(self.fold.state.version)]
 
-    def _note_applied(self, now_ms: float, parent_name: str | None) -> None:
+    def _schedule_applied(self, now_ms: float, parent_name: str | None) -> None:
         own = self._membership.own.instance
         at_ms = self._applied_ms
         self._applied = Applied(self.digest, [own], at_ms, at_ms)
         self._applied_to = parent_name
         self._applied_due_ms = now_ms + APPLIED_DELAY_MS
 
-    def _remember(self, document: Document) -> None:
+    def _add_to_history(self, document: Document) -> None:
         self._history[document.hash] = document
-        while len(self._history) > HISTORY_VERSIONS:
+        while len(self._history) > MAX_HISTORY_VERSIONS:
             self._history.popitem(last=False)
 
     def _push(self, root: str, base: Document) -> list[Output]:
-        return self._send_down(Push(root, self._delta_from(base)))
+        return self._send_to_children(Push(root, self._delta_from(base)))
 
     def _forward(self, message: Push) -> list[Output]:
-        """Pass on a version that came here by another way, once for each tree.
+        """Forward a push of the version in force, once for each tree.
 
-        A node that got it down the tree of one reader still stands between the
-        root and the leaves of the other reader's tree.
+        If two readers push the same version, this node has different children in
+        each of the two trees.
         """
         if message.root in self._forwarded_roots:
             return []
-        return self._send_down(message)
+        return self._send_to_children(message)
 
-    def _send_down(self, message: Push) -> list[Output]:
+    def _send_to_children(self, message: Push) -> list[Output]:
         self._forwarded_roots.add(message.root)
         names = children(
             self._membership.order,
@@ -205,32 +206,32 @@
     # -- time ----------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[Output]:
-        """Send the count of applications once the subtree had time to answer."""
+        """Send the messages that are due: applied counts, backup push, report."""
         outputs: list[Output] = []
         if self._applied is not None and now_ms >= self._applied_due_ms:
             applied, self._applied = self._applied, None
             outputs.extend(self._report(applied))
-        self._follow_reporter(now_ms)
-        if self._stand_in is not None and now_ms >= self._stand_in.due_ms:
-            base, self._stand_in = self._stand_in.base, None
+        self._check_reporter(now_ms)
+        if self._backup_push is not None and now_ms >= self._backup_push.due_ms:
+            base, self._backup_push = self._backup_push.base, None
             outputs.extend(self._push(self._membership.own.instance, base))
         outputs.extend(self.reporter.tick(now_ms, self.digest))
         return outputs
 
-    def _follow_reporter(self, now_ms: float) -> None:
-        """Tell a new reporter what is in force here, since it can't know."""
+    def _check_reporter(self, now_ms: float) -> None:
+        """Send the version in force to a new reporter, which has no counts yet."""
         reporter = self.reporter.instance()
         if reporter == self._reported_to:
             return
         self._reported_to = reporter
         if self.fold.state.version and self._applied is None:
-            self._note_applied(now_ms, None)
+            self._schedule_applied(now_ms, None)
 
     def _report(self, applied: Applied) -> list[Output]:
         to = self._applied_to or self.reporter.instance()
         member = self._membership.member(to) if to else None
         if member is None or to == self._membership.own.instance:
-            self.reporter.take(applied)
+            self.reporter.record_applied(applied)
             return []
         return [Send(member.address, applied)]
 
@@ -238,24 +239,26 @@
 
     @singledispatchmethod
     def handle(self, message: Message, sender: Sender, now_ms: float) -> list[Output]:
-        """Take a message; messages of other decisions are ignored."""
+        """Handle a message; kinds not registered here are ignored."""
         return []
 
     @handle.register
     def _(self, message: Probe, sender: Sender, now_ms: float) -> list[Output]:
-        return self._hear(message.digest, sender.address, now_ms)
+        return self._compare_digest(message.digest, sender.address, now_ms)
 
     @handle.register
     def _(self, message: Ack, sender: Sender, now_ms: float) -> list[Output]:
-        return self._hear(message.digest, sender.address, now_ms)
+        return self._compare_digest(message.digest, sender.address, now_ms)
 
-    def _hear(self, digest: Digest, peer: Address, now_ms: float) -> list[Output]:
+    def _compare_digest(
+        self, digest: Digest, peer: Address, now_ms: float
+    ) -> list[Output]:
         own = self.digest
         if digest.version and digest.version == own.version and digest.hash != own.hash:
             return [VersionConflict(own.version, peer)]
-        if digest.version <= own.version or now_ms < self._pull_until_ms:
+        if digest.version <= own.version or now_ms < self._next_pull_ms:
             return []
-        self._pull_until_ms = now_ms + PULL_TIMEOUT_MS
+        self._next_pull_ms = now_ms + PULL_TIMEOUT_MS
         return [Send(peer, Pull(own))]
 
     @handle.register
@@ -264,35 +267,35 @@
             return []
         base = self._history.get(message.digest.hash)
         if base is None and not self._snapshots.take(now_ms):
-            wait_ms = LATER_MINIMUM_MS + self._random.randrange(1000)
+            wait_ms = MIN_RETRY_AFTER_MS + self._random.randrange(1000)
             return [Send(sender.address, Later(wait_ms))]
         return [Send(sender.address, PullReply(self._delta_from(base)))]
 
     @handle.register
     def _(self, message: PullReply, sender: Sender, now_ms: float) -> list[Output]:
-        self._pull_until_ms = 0.0
-        return self._take_delta(message.delta, sender, now_ms, parent_name=None)
+        self._next_pull_ms = 0.0
+        return self._apply_delta(message.delta, sender, now_ms, parent_name=None)
 
     @handle.register
     def _(self, message: Later, sender: Sender, now_ms: float) -> list[Output]:
-        self._pull_until_ms = now_ms + min(message.retry_after_ms, 10_000)
+        self._next_pull_ms = now_ms + min(message.retry_after_ms, 10_000)
         return []
 
     @handle.register
     def _(self, message: Push, sender: Sender, now_ms: float) -> list[Output]:
-        self._stand_in = None
+        self._backup_push = None
         if message.delta.version == self.fold.state.version:
             return self._forward(message)
         before = self.fold.state.document
         order = self._membership.order
         own = self._membership.own.instance
-        above = parent(order, message.root, own, self._settings.push_fan_out)
-        outputs = self._take_delta(message.delta, sender, now_ms, above)
+        parent_name = parent(order, message.root, own, self._settings.push_fan_out)
+        outputs = self._apply_delta(message.delta, sender, now_ms, parent_name)
         if any(isinstance(output, VersionApplied) for output in outputs):
             outputs.extend(self._push(message.root, before))
         return outputs
 
-    def _take_delta(
+    def _apply_delta(
         self, delta: Delta, sender: Sender, now_ms: float, parent_name: str | None
     ) -> list[Output]:
         before = self.fold.state
@@ -300,7 +303,7 @@
             return []
         adopted = self.fold.adopt(delta)
         if isinstance(adopted, Failure):
-            self._pull_until_ms = now_ms + PULL_TIMEOUT_MS
+            self._next_pull_ms = now_ms + PULL_TIMEOUT_MS
             return [Send(sender.address, Pull(self.digest))]
         outputs: list[Output] = [Folded(event) for event in adopted.unwrap()]
         outputs.extend(self._apply(before.document, now_ms, parent_name))
@@ -312,7 +315,7 @@
             self._applied = merge_applied(self._applied, message)
             return []
         if self._membership.own.instance == self.reporter.instance():
-            self.reporter.take(message)
+            self.reporter.record_applied(message)
             return []
         self._applied_to = None
         self._applied = message
@@ -321,7 +324,7 @@
 
 
 def merge_applied(one: Applied, other: Applied) -> Applied:
-    """Return the applications of two subtrees together."""
+    """Return the union of the instances that two subtrees report as applied."""
     instances = sorted(set(one.instances) | set(other.instances))
     return Applied(
         one.digest,
--- a/azurestep/control/summaries.py
+++ b/azurestep/control/summaries.py
@@ -1,15 +1,15 @@
-"""Summaries: which backend servers a data centre offers to the others."""
+"""Summaries of the backend servers that a data centre offers to remote ones."""
 
 from .membership import Membership
 from .outputs import Output
 from .updates import MemberStatus, ServerState, ServiceSummary
 
 SUMMARY_INTERVAL_MS = 200
-SERVERS_PER_SUMMARY = 64
+MAX_SERVERS_PER_SUMMARY = 64
 
 
 class Summarizer:
-    """Publishes the summaries of a data centre; its first bridge does so."""
+    """Publishes the summaries of a data centre if this node is its first bridge."""
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
@@ -37,14 +37,16 @@
             if member.status == MemberStatus.ALIVE:
                 for server in member.servers:
                     servers.setdefault(server.service, []).append(server)
-        return [self._changed(name, found) for name, found in servers.items()]
+        return [self._make_if_changed(name, found) for name, found in servers.items()]
 
-    def _changed(
+    def _make_if_changed(
         self, service: str, servers: list[ServerState]
     ) -> ServiceSummary | None:
         own = self._membership.own.data_centre
         origin = self._membership.own.instance
-        listed = sorted(servers, key=lambda s: (s.host, s.port))[:SERVERS_PER_SUMMARY]
+        listed = sorted(servers, key=lambda s: (s.host, s.port))[
+            :MAX_SERVERS_PER_SUMMARY
+        ]
         held = self._membership.table.get(f"s/{own}/{service}")
         if not isinstance(held, ServiceSummary):
             return ServiceSummary(own, service, 1, origin, listed)
