--- a/azurestep/control/beliefs.py
+++ b/azurestep/control/beliefs.py
@@ -8,7 +8,7 @@
 from ..settings import ControlSettings
 from .comparison import sync_request
 from .messages import Probe
-from .outputs import Learned, MemberChanged, Output, Send
+from .outputs import MemberChanged, Output, Send, UpdateAccepted
 from .roster import Roster
 from .seeds import Seeds
 from .table import stamp_of
@@ -124,7 +124,7 @@
                 outputs.extend(self._merge_member(update, now_ms, carrier))
             elif self._roster.table.merge(update):
                 self._pass_on(update, carrier)
-                outputs.append(Learned(update))
+                outputs.append(UpdateAccepted(update))
                 outputs.extend(self._meet(update))
         return outputs
 
--- a/azurestep/control/codec.py
+++ b/azurestep/control/codec.py
@@ -21,21 +21,21 @@
 )
 from .messages import (
     Ack,
-    Applied,
+    AppliedReport,
     AuditItems,
     AuditReceipt,
     Broadcast,
-    Later,
+    IndirectAck,
     Message,
     OwnerMessage,
     Probe,
-    ProbeRelayed,
     ProbeRequest,
     Pull,
     PullReply,
     Push,
     RecordsPull,
     RecordsPush,
+    RetryLater,
     Sender,
     SyncReply,
     SyncRequest,
@@ -48,21 +48,21 @@
     Update,
 )
 
-FRAME_MAXIMUM_BYTES = 8 * 1024 * 1024
+MAX_FRAME_BYTES = 8 * 1024 * 1024
 
 MESSAGE_KINDS: dict[int, type] = {
     1: Probe,
     2: Ack,
     3: ProbeRequest,
-    4: ProbeRelayed,
+    4: IndirectAck,
     5: Broadcast,
     6: SyncRequest,
     7: SyncReply,
     8: Push,
     9: Pull,
     10: PullReply,
-    11: Later,
-    12: Applied,
+    11: RetryLater,
+    12: AppliedReport,
     13: RecordsPush,
     14: RecordsPull,
     15: OwnerMessage,
@@ -162,7 +162,7 @@
     MessageMalformedError
         If the frame is too large or is no message of this protocol.
     """
-    if len(frame) > FRAME_MAXIMUM_BYTES:
+    if len(frame) > MAX_FRAME_BYTES:
         raise _malformed(f"{len(frame)} bytes are too many")
     try:
         number, sender, fields = msgpack.unpackb(frame)
--- a/azurestep/control/link.py
+++ b/azurestep/control/link.py
@@ -11,15 +11,15 @@
 from ..errors import MessageMalformedError, PortInUseError
 from ..events import FRAME_DROPPED, emit
 from ..settings import Address, FleetKey
-from .codec import FRAME_MAXIMUM_BYTES, Envelope, decode, encode
+from .codec import MAX_FRAME_BYTES, Envelope, decode, encode
 from .messages import Message, Sender
 from .waiting import OnDrop, WaitingFrames
 
-QUEUE_LENGTH = 256
-LINKS_MAXIMUM = 256
+SEND_QUEUE_FRAMES = 256
+MAX_OUTBOUND_LINKS = 256
 FLUSH_INTERVAL_S = 0.005
 MS_PER_S = 1000
-CURVE_ANY = "*"
+CURVE_ANY_DOMAIN = "*"
 
 
 @attrs.define
@@ -59,7 +59,7 @@
         self._sync_context = zmq.Context(self._context)
         self._inbound: zmq.asyncio.Socket | None = None
         self._authenticator: zmq.auth.asyncio.AsyncioAuthenticator | None = None
-        self._waiting = WaitingFrames()
+        self._waiting_frames = WaitingFrames()
         self._flush_handle: asyncio.TimerHandle | None = None
         self._outbound: OrderedDict[Address, zmq.Socket[bytes]] = OrderedDict()
 
@@ -74,7 +74,7 @@
         self._start_authentication()
         socket = self._context.socket(zmq.PULL)
         socket.linger = 0
-        socket.maxmsgsize = FRAME_MAXIMUM_BYTES
+        socket.maxmsgsize = MAX_FRAME_BYTES
         if self._key is not None:
             socket.curve_server = True
             socket.curve_secretkey = self._key.secret_key.encode()
@@ -94,8 +94,8 @@
             return
         self._authenticator = zmq.auth.asyncio.AsyncioAuthenticator(self._context)
         self._authenticator.start()
-        provider = _SingleKey(self._key.public_key)
-        self._authenticator.configure_curve_callback(CURVE_ANY, provider)
+        provider = _FleetKeyProvider(self._key.public_key)
+        self._authenticator.configure_curve_callback(CURVE_ANY_DOMAIN, provider)
 
     async def receive(self) -> Envelope:
         """Return the next message that can be decoded."""
@@ -125,19 +125,19 @@
             case if it returns False.
         """
         frame = encode(self._own, message)
-        if not self._waiting.has(to) and self._try(to, frame):
+        if not self._waiting_frames.has(to) and self._try_send(to, frame):
             return True
-        if self._waiting.add(to, frame, self._now_ms(), on_drop):
-            self._flush_later()
+        if self._waiting_frames.add(to, frame, self._now_ms(), on_drop):
+            self._schedule_flush()
             return True
         self.counters.unsent_frames += 1
         if on_drop is not None:
             on_drop()
         return False
 
-    def _try(self, to: Address, frame: bytes) -> bool:
+    def _try_send(self, to: Address, frame: bytes) -> bool:
         try:
-            self._socket(to).send(frame, zmq.DONTWAIT)
+            self._outbound_socket(to).send(frame, zmq.DONTWAIT)
         except zmq.Again:
             return False
         self.counters.sent_frames += 1
@@ -147,29 +147,29 @@
     def _now_ms(self) -> float:
         return asyncio.get_running_loop().time() * MS_PER_S
 
-    def _flush_later(self) -> None:
+    def _schedule_flush(self) -> None:
         if self._flush_handle is None:
             loop = asyncio.get_running_loop()
             self._flush_handle = loop.call_later(FLUSH_INTERVAL_S, self._flush)
 
     def _flush(self) -> None:
         self._flush_handle = None
-        self._waiting.flush(self._try)
-        for dropped in self._waiting.expire(self._now_ms()):
+        self._waiting_frames.flush(self._try_send)
+        for dropped in self._waiting_frames.expire(self._now_ms()):
             self.counters.unsent_frames += 1
             if dropped.on_drop is not None:
                 dropped.on_drop()
-        if len(self._waiting):
-            self._flush_later()
+        if len(self._waiting_frames):
+            self._schedule_flush()
 
-    def _socket(self, to: Address) -> "zmq.Socket[bytes]":
+    def _outbound_socket(self, to: Address) -> "zmq.Socket[bytes]":
         held = self._outbound.get(to)
         if held is not None:
             self._outbound.move_to_end(to)
             return held
         socket = self._sync_context.socket(zmq.PUSH)
         socket.linger = 0
-        socket.sndhwm = QUEUE_LENGTH
+        socket.sndhwm = SEND_QUEUE_FRAMES
         socket.immediate = True
         if self._key is not None:
             socket.curve_serverkey = self._key.public_key.encode()
@@ -177,7 +177,7 @@
             socket.curve_publickey = self._key.public_key.encode()
         socket.connect(f"tcp://{to}")
         self._outbound[to] = socket
-        if len(self._outbound) > LINKS_MAXIMUM:
+        if len(self._outbound) > MAX_OUTBOUND_LINKS:
             _, oldest = self._outbound.popitem(last=False)
             oldest.close()
         return socket
@@ -190,7 +190,7 @@
 
     async def close(self, flush_ms: int = 200) -> None:
         """Close all sockets, giving queued frames a moment to leave."""
-        self._waiting.flush(self._try)
+        self._waiting_frames.flush(self._try_send)
         if self._flush_handle is not None:
             self._flush_handle.cancel()
         for socket in self._outbound.values():
@@ -204,7 +204,7 @@
         await loop.run_in_executor(None, self._context.term)
 
 
-class _SingleKey:
+class _FleetKeyProvider:
     """Lets in only peers that hold the fleet's own key."""
 
     def __init__(self, public_key: str) -> None:
--- a/azurestep/control/membership.py
+++ b/azurestep/control/membership.py
@@ -16,9 +16,9 @@
 from .messages import (
     Ack,
     Broadcast,
+    IndirectAck,
     Message,
     Probe,
-    ProbeRelayed,
     ProbeRequest,
     Sender,
     SyncReply,
@@ -123,7 +123,7 @@
         return self._prober.help(message, sender, now_ms)
 
     @handle.register
-    def _(self, message: ProbeRelayed, sender: Sender, now_ms: float) -> list[Output]:
+    def _(self, message: IndirectAck, sender: Sender, now_ms: float) -> list[Output]:
         self._prober.answered_by_helper(message)
         return []
 
--- a/azurestep/control/messages.py
+++ b/azurestep/control/messages.py
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen
-class ProbeRelayed:
+class IndirectAck:
     """Tells that the third member answered the relayed probe."""
 
     sequence: int
@@ -126,14 +126,14 @@
 
 
 @attrs.frozen
-class Later:
+class RetryLater:
     """Tells a puller to come back, since serving snapshots is limited."""
 
     retry_after_ms: int
 
 
 @attrs.frozen
-class Applied:
+class AppliedReport:
     """How many members of a subtree have a version in force.
 
     Attributes
@@ -246,15 +246,15 @@
     Probe
     | Ack
     | ProbeRequest
-    | ProbeRelayed
+    | IndirectAck
     | Broadcast
     | SyncRequest
     | SyncReply
     | Push
     | Pull
     | PullReply
-    | Later
-    | Applied
+    | RetryLater
+    | AppliedReport
     | RecordsPush
     | RecordsPull
     | OwnerMessage
--- a/azurestep/control/outputs.py
+++ b/azurestep/control/outputs.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Learned:
+class UpdateAccepted:
     """An update of another kind is newer than the one held."""
 
     update: Update
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class Folded:
+class RecordFolded:
     """The fold decided on a record."""
 
     event: FoldEvent
@@ -80,9 +80,9 @@
     Send
     | ReplaceLink
     | MemberChanged
-    | Learned
+    | UpdateAccepted
     | VersionApplied
     | VersionConflict
-    | Folded
+    | RecordFolded
     | RecordsRelayed
 )
--- a/azurestep/control/packing.py
+++ b/azurestep/control/packing.py
@@ -11,7 +11,7 @@
 from ..errors import MessageMalformedError
 from .messages import RelayedRecord
 
-UNPACKED_MAXIMUM_BYTES = 16 * 1024 * 1024
+MAX_UNPACKED_BYTES = 16 * 1024 * 1024
 
 
 def pack_records(records: Sequence[RelayedRecord]) -> bytes:
@@ -28,7 +28,7 @@
     Raises
     ------
     MessageMalformedError
-        If it can't be unpacked within ``UNPACKED_MAXIMUM_BYTES``.
+        If it can't be unpacked within ``MAX_UNPACKED_BYTES``.
 
     Examples
     --------
@@ -39,7 +39,7 @@
         return []
     try:
         stream = zlib.decompressobj()
-        raw = stream.decompress(packed, UNPACKED_MAXIMUM_BYTES)
+        raw = stream.decompress(packed, MAX_UNPACKED_BYTES)
         if not stream.eof:
             raise ValueError("too large or cut")
         return [
--- a/azurestep/control/probing.py
+++ b/azurestep/control/probing.py
@@ -6,7 +6,7 @@
 from ..settings import Address, ControlSettings
 from .beliefs import UNCOUNTED, Beliefs
 from .detector import Detector, Failed, Repeat
-from .messages import Ack, Probe, ProbeRelayed, ProbeRequest, Sender
+from .messages import Ack, IndirectAck, Probe, ProbeRequest, Sender
 from .outputs import Output, ReplaceLink, Send
 from .ring import neighbours
 from .roster import Roster
@@ -129,9 +129,9 @@
         if relayed is None:
             return []
         to, sequence = relayed
-        return [Send(to, ProbeRelayed(sequence))]
+        return [Send(to, IndirectAck(sequence))]
 
-    def answered_by_helper(self, relayed: ProbeRelayed) -> None:
+    def answered_by_helper(self, relayed: IndirectAck) -> None:
         """Note that a helper heard the member."""
         self._detector.vouched(relayed.sequence)
 
--- a/azurestep/control/reports.py
+++ b/azurestep/control/reports.py
@@ -9,7 +9,7 @@
 import attrs
 
 from .membership import Membership
-from .messages import Applied, Digest
+from .messages import AppliedReport, Digest
 from .outputs import Output
 from .updates import DataCentreReport
 
@@ -44,7 +44,7 @@
         bridges = self._membership.bridges()
         return bridges[0] if bridges else None
 
-    def take(self, applied: Applied) -> None:
+    def take(self, applied: AppliedReport) -> None:
         """Count the applications of a message."""
         version = applied.digest.version
         tally = self._tallies.get(version)
--- a/azurestep/control/spread.py
+++ b/azurestep/control/spread.py
@@ -22,17 +22,17 @@
 from .membership import Membership
 from .messages import (
     Ack,
-    Applied,
+    AppliedReport,
     Digest,
-    Later,
     Message,
     Probe,
     Pull,
     PullReply,
     Push,
+    RetryLater,
     Sender,
 )
-from .outputs import Folded, Output, Send, VersionApplied, VersionConflict
+from .outputs import Output, RecordFolded, Send, VersionApplied, VersionConflict
 from .reports import Reporter
 from .ring import children, parent
 
@@ -108,7 +108,7 @@
         self._history: OrderedDict[bytes, Document] = OrderedDict()
         self._snapshots = TokenBucket(SNAPSHOTS_PER_SECOND, SNAPSHOT_BURST)
         self._pull_until_ms = 0.0
-        self._applied: Applied | None = None
+        self._applied: AppliedReport | None = None
         self._applied_to: str | None = None
         self._applied_due_ms = 0.0
         self._applied_ms = 0
@@ -134,7 +134,7 @@
         """
         before = self.fold.state
         events = self.fold.apply_page(page)
-        outputs: list[Output] = [Folded(event) for event in events]
+        outputs: list[Output] = [RecordFolded(event) for event in events]
         if self.fold.state.version == before.version:
             return outputs
         versions = [e for e in events if isinstance(e, Accepted | Adopted)]
@@ -160,7 +160,7 @@
     def _note_applied(self, now_ms: float, parent_name: str | None) -> None:
         own = self._membership.own.instance
         at_ms = self._applied_ms
-        self._applied = Applied(self.digest, [own], at_ms, at_ms)
+        self._applied = AppliedReport(self.digest, [own], at_ms, at_ms)
         self._applied_to = parent_name
         self._applied_due_ms = now_ms + APPLIED_DELAY_MS
 
@@ -226,7 +226,7 @@
         if self.fold.state.version and self._applied is None:
             self._note_applied(now_ms, None)
 
-    def _report(self, applied: Applied) -> list[Output]:
+    def _report(self, applied: AppliedReport) -> list[Output]:
         to = self._applied_to or self.reporter.instance()
         member = self._membership.member(to) if to else None
         if member is None or to == self._membership.own.instance:
@@ -265,7 +265,7 @@
         base = self._history.get(message.digest.hash)
         if base is None and not self._snapshots.take(now_ms):
             wait_ms = LATER_MINIMUM_MS + self._random.randrange(1000)
-            return [Send(sender.address, Later(wait_ms))]
+            return [Send(sender.address, RetryLater(wait_ms))]
         return [Send(sender.address, PullReply(self._delta_from(base)))]
 
     @handle.register
@@ -274,7 +274,7 @@
         return self._take_delta(message.delta, sender, now_ms, parent_name=None)
 
     @handle.register
-    def _(self, message: Later, sender: Sender, now_ms: float) -> list[Output]:
+    def _(self, message: RetryLater, sender: Sender, now_ms: float) -> list[Output]:
         self._pull_until_ms = now_ms + min(message.retry_after_ms, 10_000)
         return []
 
@@ -302,12 +302,12 @@
         if isinstance(adopted, Failure):
             self._pull_until_ms = now_ms + PULL_TIMEOUT_MS
             return [Send(sender.address, Pull(self.digest))]
-        outputs: list[Output] = [Folded(event) for event in adopted.unwrap()]
+        outputs: list[Output] = [RecordFolded(event) for event in adopted.unwrap()]
         outputs.extend(self._apply(before.document, now_ms, parent_name))
         return outputs
 
     @handle.register
-    def _(self, message: Applied, sender: Sender, now_ms: float) -> list[Output]:
+    def _(self, message: AppliedReport, sender: Sender, now_ms: float) -> list[Output]:
         if self._applied is not None and self._applied.digest == message.digest:
             self._applied = merge_applied(self._applied, message)
             return []
@@ -320,10 +320,10 @@
         return []
 
 
-def merge_applied(one: Applied, other: Applied) -> Applied:
+def merge_applied(one: AppliedReport, other: AppliedReport) -> AppliedReport:
     """Return the applications of two subtrees together."""
     instances = sorted(set(one.instances) | set(other.instances))
-    return Applied(
+    return AppliedReport(
         one.digest,
         instances,
         min(one.first_ms, other.first_ms),
--- a/azurestep/node/outcomes.py
+++ b/azurestep/node/outcomes.py
@@ -12,13 +12,13 @@
 from ..control.membership import Membership
 from ..control.messages import Broadcast
 from ..control.outputs import (
-    Folded,
-    Learned,
     MemberChanged,
     Output,
+    RecordFolded,
     RecordsRelayed,
     ReplaceLink,
     Send,
+    UpdateAccepted,
     VersionApplied,
     VersionConflict,
 )
@@ -94,7 +94,7 @@
         events.emit(event, instance=member.instance)
 
     @perform.register
-    def _(self, output: Learned) -> None:
+    def _(self, output: UpdateAccepted) -> None:
         if isinstance(output.update, SuspectRequest):
             self._learn_suspect(output.update)
             return
@@ -135,7 +135,7 @@
         )
 
     @perform.register
-    def _(self, output: Folded) -> None:
+    def _(self, output: RecordFolded) -> None:
         if isinstance(output.event, CheckpointRead):
             self.checkpoints.note(
                 output.event.as_of, self.environment.clock.monotonic_ms()
--- a/tests/fixtures_world.py
+++ b/tests/fixtures_world.py
@@ -35,7 +35,7 @@
 
 
 @attrs.define
-class World:
+class ScenarioContext:
     runner: asyncio.Runner
     fleet: Fleet
     session: aiohttp.ClientSession
@@ -82,9 +82,9 @@
                 f"server-{number}", service, node
             )
             self.servers.append(server)
-        await self.until(lambda states: all(_is_joined(s, states) for s in states))
+        await self.wait_until(lambda states: all(_is_joined(s, states) for s in states))
 
-    async def until(self, holds: Any) -> None:
+    async def wait_until(self, holds: Any) -> None:
         deadline_ms = self.deadline_ms()
         while not holds(await self.statuses()):
             assert self.environment.clock.monotonic_ms() < deadline_ms
@@ -100,7 +100,7 @@
     async def wait_in_force(self) -> None:
         accepted = [v.event for v in self.verdicts if v.is_accepted]
         version = accepted[-1].version
-        await self.until(lambda states: all(s.version == version for s in states))
+        await self.wait_until(lambda states: all(s.version == version for s in states))
         for node in self.nodes:
             await wait_for_port(node.settings.traffic_port)
 
@@ -177,7 +177,7 @@
 
 
 @pytest.fixture
-def world() -> Iterator[World]:
+def world() -> Iterator[ScenarioContext]:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         fleet = Fleet()
 
@@ -186,7 +186,7 @@
 
         session = runner.run(open_session())
         try:
-            yield World(runner, fleet, session)
+            yield ScenarioContext(runner, fleet, session)
         finally:
             runner.run(session.close())
             runner.run(fleet.stop())
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -3,7 +3,7 @@
 import pytest
 
 from azurestep.control.link import Links
-from azurestep.control.messages import Later, Sender
+from azurestep.control.messages import RetryLater, Sender
 from azurestep.control.waiting import FRAMES_PER_PEER, WaitingFrames
 from azurestep.settings import Address
 from bench.fleet import free_ports
@@ -25,15 +25,15 @@
 async def test_first_message_on_a_new_connection_arrives(links) -> None:
     one, other = links
     other.open()
-    assert one.send(other._own.address, Later(5))
+    assert one.send(other._own.address, RetryLater(5))
     async with asyncio.timeout(10):
-        assert (await other.receive()).message == Later(5)
+        assert (await other.receive()).message == RetryLater(5)
 
 
 async def test_message_to_a_peer_that_is_gone_is_known_to_be_unsent(links) -> None:
     one, other = links
     dropped = asyncio.Event()
-    one.send(other._own.address, Later(5), dropped.set)
+    one.send(other._own.address, RetryLater(5), dropped.set)
     async with asyncio.timeout(10):
         await dropped.wait()
     assert one.counters.sent_frames == 0
@@ -43,10 +43,10 @@
     one, other = links
     other.open()
     for number in range(20):
-        one.send(other._own.address, Later(number))
+        one.send(other._own.address, RetryLater(number))
     async with asyncio.timeout(10):
         received = [(await other.receive()).message for _ in range(20)]
-    assert received == [Later(number) for number in range(20)]
+    assert received == [RetryLater(number) for number in range(20)]
 
 
 def test_waiting_frames_are_bounded() -> None:
--- a/tests/test_control_pages.py
+++ b/tests/test_control_pages.py
@@ -10,7 +10,7 @@
     encode_record,
     entries_of,
 )
-from azurestep.control.outputs import Folded, RecordsRelayed
+from azurestep.control.outputs import RecordFolded, RecordsRelayed
 from azurestep.environment import Environment
 from azurestep.node.control import ControlService
 from azurestep.node.messages import OwnershipPageRead, PageRead
@@ -38,7 +38,7 @@
 
 def regressions(outputs: list) -> list:
     relayed = [o for o in outputs if isinstance(o, RecordsRelayed)]
-    folded = [o.event for o in outputs if isinstance(o, Folded)]
+    folded = [o.event for o in outputs if isinstance(o, RecordFolded)]
     return [o for o in relayed if o.has_regressed] + [
         event for event in folded if isinstance(event, Regressed)
     ]
--- a/tests/test_platform_checkpoints.py
+++ b/tests/test_platform_checkpoints.py
@@ -6,7 +6,7 @@
 import pytest
 
 from azurestep.config.fold import CheckpointRead
-from azurestep.control.outputs import Folded
+from azurestep.control.outputs import RecordFolded
 from azurestep.environment import Environment
 from azurestep.node.control import ControlService
 from azurestep.settings import ControlSettings, Settings
@@ -63,6 +63,6 @@
     control.environment.clock.at_ms = INTERVAL_MS
     assert control.is_checkpoint_due()
 
-    control._perform(Folded(CheckpointRead(2, 1)))
+    control._perform(RecordFolded(CheckpointRead(2, 1)))
 
     assert not control.is_checkpoint_due()
--- a/tests/test_start_costs.py
+++ b/tests/test_start_costs.py
@@ -7,7 +7,7 @@
 
 from azurestep.control.membership import Membership
 from azurestep.control.messages import Ack, Probe, Sender, SyncReply
-from azurestep.control.outputs import Learned, Output, Send
+from azurestep.control.outputs import Output, Send, UpdateAccepted
 from azurestep.control.updates import (
     DataCentreReport,
     MemberState,
@@ -80,7 +80,7 @@
     control._refresh_directory(0.0)
     before = control.traffic.qsize()
     report = DataCentreReport("dc-2", 1, "b", 1, b"", 1, 1, [], 0, 0)
-    control._perform(Learned(report))
+    control._perform(UpdateAccepted(report))
     control._refresh_directory(0.0)
     assert control.traffic.qsize() == before
 
@@ -89,6 +89,8 @@
     control._refresh_directory(0.0)
     before = control.traffic.qsize()
     server = ServerState("catalogue", "127.0.0.1", 9, "x", 12)
-    control._perform(Learned(ServiceSummary("dc-2", "catalogue", 1, "b", [server])))
+    control._perform(
+        UpdateAccepted(ServiceSummary("dc-2", "catalogue", 1, "b", [server]))
+    )
     control._refresh_directory(0.0)
     assert control.traffic.qsize() == before + 1
