--- a/azurestep/control/__init__.py
+++ b/azurestep/control/__init__.py
@@ -1,1 +1,1 @@
-"""How nodes act together: membership, spreading, following the log."""
+"""Control plane of a node: membership, configuration distribution, log replication."""
--- a/azurestep/control/codec.py
+++ b/azurestep/control/codec.py
@@ -1,7 +1,7 @@
 """Encoding of messages between nodes: positional arrays in msgpack.
 
-A message is ``[kind, sender, fields]``. Fields are positional: a longer array
-from a newer program is cut, missing fields at the end take their defaults.
+A message is ``[kind, sender, fields]``. Fields are positional: extra fields from a
+newer version are ignored, missing trailing fields take their defaults.
 """
 
 from enum import IntEnum
@@ -108,7 +108,7 @@
 
 
 def _structure_updates(converter: cattrs.Converter, value: Any) -> list[Update]:
-    # A newer program may send kinds that this one passes over.
+    # Skip update kinds introduced by newer versions.
     return [
         converter.structure(fields, UPDATE_KINDS[number])
         for number, fields, *_ in value
@@ -138,14 +138,14 @@
 
 @attrs.frozen
 class Envelope:
-    """A decoded message and its sender."""
+    """Decoded message and its sender."""
 
     sender: Sender
     message: Message
 
 
 def encode(sender: Sender, message: Message) -> bytes:
-    """Return the frame of a message."""
+    """Encode a message as a frame."""
     kind = type(message)
     fields = CONVERTER.unstructure(message)
     frame: bytes = msgpack.packb(
@@ -155,15 +155,15 @@
 
 
 def decode(frame: bytes) -> Envelope:
-    """Return the message of a frame.
+    """Decode a frame.
 
     Raises
     ------
     MessageMalformedError
-        If the frame is too large or is no message of this protocol.
+        If the frame is too large or not a valid message.
     """
     if len(frame) > MAX_FRAME_BYTES:
-        raise _malformed(f"{len(frame)} bytes are too many")
+        raise _malformed(f"{len(frame)} bytes exceed the frame limit")
     try:
         number, sender, fields = msgpack.unpackb(frame)
         return Envelope(
@@ -176,6 +176,6 @@
 
 def _malformed(cause: str) -> MessageMalformedError:
     return MessageMalformedError(
-        f"a frame from a peer can't be decoded: {cause}",
-        "Check that only nodes of this fleet reach the control port",
+        f"cannot decode a frame from a peer: {cause}",
+        "Check that only nodes of this fleet can reach the control port",
     )
--- a/azurestep/control/link.py
+++ b/azurestep/control/link.py
@@ -1,4 +1,4 @@
-"""Sockets between nodes: one that receives, one that sends per peer."""
+"""Control sockets: one for receiving, one per peer for sending."""
 
 import asyncio
 from collections import OrderedDict
@@ -24,16 +24,16 @@
 
 @attrs.define
 class LinkCounters:
-    """Traffic of the control sockets since the start, frame bodies only.
+    """Traffic of the control sockets since startup.
 
     Attributes
     ----------
     sent_frames, sent_bytes, received_frames, received_bytes : int
-        Frames and their bytes, without what the transport adds.
+        Frames and their sizes, without transport overhead.
     dropped_frames : int
         Received frames that could not be decoded.
     unsent_frames : int
-        Frames dropped because the queue of a peer was full.
+        Frames dropped because a peer's queue was full or they expired unsent.
     """
 
     sent_frames: int = 0
@@ -45,10 +45,10 @@
 
 
 class Links:
-    """Owns the control sockets of a node.
+    """Control sockets of a node.
 
-    Messages are one-way; an answer is a message to the sender's address. With
-    a fleet key every connection is authenticated and encrypted by CURVE.
+    Messages are one-way; an answer is a separate message to the sender's address.
+    With a fleet key, CURVE authenticates and encrypts every connection.
     """
 
     def __init__(self, own: Sender, fleet_key: FleetKey | None) -> None:
@@ -64,12 +64,12 @@
         self._outbound: OrderedDict[Address, zmq.Socket[bytes]] = OrderedDict()
 
     def open(self) -> None:
-        """Listen on the node's own control address.
+        """Listen on the node's control address.
 
         Raises
         ------
         PortInUseError
-            If the address is taken.
+            If the address can't be bound.
         """
         self._start_authentication()
         socket = self._context.socket(zmq.PULL)
@@ -84,7 +84,7 @@
         except zmq.ZMQError as error:
             socket.close()
             raise PortInUseError(
-                f"control address {self._own.address} can't be used: {error}",
+                f"cannot listen on control address {self._own.address}: {error}",
                 "Free the port or set another control_port",
             ) from error
         self._inbound = socket
@@ -98,7 +98,7 @@
         self._authenticator.configure_curve_callback(CURVE_ANY_DOMAIN, provider)
 
     async def receive(self) -> Envelope:
-        """Return the next message that can be decoded."""
+        """Return the next valid message; drop and log malformed frames."""
         if self._inbound is None:
             raise RuntimeError("the links are not open")
         while True:
@@ -114,15 +114,14 @@
     def send(
         self, to: Address, message: Message, on_drop: OnDrop | None = None
     ) -> bool:
-        """Send without waiting; return whether the frame was taken.
+        """Send without blocking; return whether the frame was sent or queued.
 
-        A frame waits up to a second for its connection to come up.
+        A frame is queued for up to a second until its connection is established.
 
         Parameters
         ----------
         on_drop : callable, optional
-            Called if the frame is dropped before any byte of it left, as is the
-            case if it returns False.
+            Called if the frame is dropped unsent, including when False is returned.
         """
         frame = encode(self._own, message)
         if not self._waiting_frames.has(to) and self._try_send(to, frame):
@@ -183,13 +182,13 @@
         return socket
 
     def replace(self, to: Address) -> None:
-        """Drop the connection to a peer; the next message opens a new one."""
+        """Close the connection to a peer; the next message opens a new one."""
         socket = self._outbound.pop(to, None)
         if socket is not None:
             socket.close()
 
     async def close(self, flush_ms: int = 200) -> None:
-        """Close all sockets, giving queued frames a moment to leave."""
+        """Close all sockets, lingering up to ``flush_ms`` to send queued frames."""
         self._waiting_frames.flush(self._try_send)
         if self._flush_handle is not None:
             self._flush_handle.cancel()
@@ -205,11 +204,11 @@
 
 
 class _FleetKeyProvider:
-    """Lets in only peers that hold the fleet's own key."""
+    """CURVE credentials provider that accepts only the fleet key."""
 
     def __init__(self, public_key: str) -> None:
         self._public_key = public_key.encode()
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tell whether a peer's public key is allowed."""
+        """Return whether a peer's public key is allowed."""
         return key == self._public_key
--- a/azurestep/control/messages.py
+++ b/azurestep/control/messages.py
@@ -1,8 +1,8 @@
 """Typed messages between nodes.
 
-Messages travel as positional arrays (see :mod:`azurestep.control.codec`). A new
-field goes to the end of a class and has a default, so that programs of
-neighbouring versions understand each other during a rolling upgrade.
+Messages are encoded as positional arrays (see :mod:`azurestep.control.codec`).
+New fields must be appended and have a default, so that nodes of adjacent
+versions stay compatible during a rolling upgrade.
 """
 
 import attrs
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Digest:
-    """Which configuration a node holds."""
+    """Version and hash of the configuration that a node holds."""
 
     version: int
     hash: bytes
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Sender:
-    """Who sent a message and where answers go."""
+    """Identity of the sending node and the address for answers."""
 
     instance: str
     data_centre: str
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Probe:
-    """Heartbeat that asks for an ``Ack``; carries news and digests."""
+    """Heartbeat that requests an ``Ack``; carries updates and digests."""
 
     sequence: int
     digest: Digest
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class Ack:
-    """Answer to a ``Probe``."""
+    """Answer to a ``Probe``; carries updates and digests."""
 
     sequence: int
     digest: Digest
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class ProbeRequest:
-    """Asks a peer to probe a third member and to relay its answer."""
+    """Asks a peer to probe another member on the sender's behalf."""
 
     sequence: int
     target: Address
@@ -67,14 +67,14 @@
 
 @attrs.frozen
 class IndirectAck:
-    """Tells that the third member answered the relayed probe."""
+    """Reports that the target of a ``ProbeRequest`` answered."""
 
     sequence: int
 
 
 @attrs.frozen
 class Broadcast:
-    """Urgent updates, forwarded once along the tree rooted at ``root``."""
+    """Urgent updates, forwarded once along the broadcast tree of ``root``."""
 
     root: str
     updates: list[Update]
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class ItemStamp:
-    """Key of an update, hashed, and its stamp."""
+    """Hashed key of an update and its version stamp."""
 
     key_hash: int
     stamp: list[int]
@@ -90,14 +90,14 @@
 
 @attrs.frozen
 class SyncRequest:
-    """Asks for every update that the receiver holds newer than these."""
+    """Requests every update newer than the given stamps."""
 
     stamps: list[ItemStamp]
 
 
 @attrs.frozen
 class SyncReply:
-    """Newer updates, and the keys that the sender wants in turn."""
+    """Answer to a ``SyncRequest``: newer updates and the key hashes wanted in turn."""
 
     updates: list[Update]
     wanted: list[int] = attrs.field(factory=list)
@@ -105,7 +105,7 @@
 
 @attrs.frozen
 class Push:
-    """A version on its way down the tree rooted at ``root``."""
+    """Configuration delta, forwarded along the broadcast tree of ``root``."""
 
     root: str
     delta: Delta
@@ -113,35 +113,35 @@
 
 @attrs.frozen
 class Pull:
-    """Asks for a version newer than the one held."""
+    """Requests a configuration newer than the one in ``digest``."""
 
     digest: Digest
 
 
 @attrs.frozen
 class PullReply:
-    """Answer to a ``Pull``."""
+    """Answer to a ``Pull``: the configuration delta."""
 
     delta: Delta
 
 
 @attrs.frozen
 class RetryLater:
-    """Tells a puller to come back, since serving snapshots is limited."""
+    """Asks the sender of a ``Pull`` to retry, since snapshots are rate limited."""
 
     retry_after_ms: int
 
 
 @attrs.frozen
 class AppliedReport:
-    """How many members of a subtree have a version in force.
+    """Reports which members of a subtree applied a configuration version.
 
     Attributes
     ----------
     digest : Digest
-        Version that was applied.
+        Configuration that was applied.
     instances : list of str
-        Who applied it since the last such message.
+        Instances that applied it since the previous report.
     first_ms, last_ms : int
         Wall-clock time of the first and the last application.
     """
@@ -154,7 +154,7 @@
 
 @attrs.frozen
 class RelayedRecord:
-    """A record of a log stream on its way between nodes."""
+    """Log record that is passed on between nodes."""
 
     offset: int
     payload: bytes
@@ -162,18 +162,18 @@
 
 @attrs.frozen
 class RecordsPush:
-    """Records of the ownership stream that a reader read.
+    """Range of records of the ownership stream, read by a reader node.
 
     Attributes
     ----------
     root : str
-        Root of the tree that it goes down; empty for an answer to a pull.
+        Root of the broadcast tree; empty in the answer to a ``RecordsPull``.
     from_offset, next_offset : int
-        Offsets that it covers, the last excluded.
+        Half-open range of offsets covered.
     packed : bytes
-        The records, see :mod:`azurestep.control.packing`.
+        Compressed records, see :mod:`azurestep.control.packing`.
     has_regressed : bool
-        Whether the log was found to hold fewer records than before.
+        Whether the log holds fewer records than were read before.
     """
 
     root: str
@@ -185,14 +185,14 @@
 
 @attrs.frozen
 class RecordsPull:
-    """Asks for the records of the ownership stream from an offset on."""
+    """Requests the records of the ownership stream from an offset."""
 
     from_offset: int
 
 
 @attrs.frozen
 class PackedCall:
-    """A caller's request as it travels to the owner of its key."""
+    """Caller's request, forwarded to the owner of its key."""
 
     method: str
     target: str
@@ -203,16 +203,16 @@
 
 @attrs.frozen
 class OwnerMessage:
-    """A message of the at-most-once decision to one run of a node.
+    """At-most-once protocol message, addressed to one run of a node.
 
     Attributes
     ----------
     receiver_run, sender_run : str
-        Runs of the two nodes; a later run of the receiver ignores it.
+        Process runs of both nodes; a different run of the receiver ignores it.
     message : PeerMessage
-        The message.
+        Protocol message.
     call : PackedCall or None
-        The request that goes with a ``ForwardedRequest``.
+        Request that belongs to a ``ForwardedRequest``.
     """
 
     receiver_run: str
@@ -223,7 +223,7 @@
 
 @attrs.frozen
 class AuditItems:
-    """Audit items on their way to the writer of the data centre's trail.
+    """Audit items for the node that writes the data centre's audit trail.
 
     Attributes
     ----------
@@ -236,7 +236,7 @@
 
 @attrs.frozen
 class AuditReceipt:
-    """Items of a run of the receiver, up to a number, are on the log."""
+    """Confirms that a run's audit items up to ``number`` are in the log."""
 
     run: str
     number: int
--- a/azurestep/control/outputs.py
+++ b/azurestep/control/outputs.py
@@ -1,4 +1,4 @@
-"""What the control decisions ask their services to do."""
+"""Outputs of the control logic, performed by the node's services."""
 
 import attrs
 
@@ -18,21 +18,21 @@
 
 @attrs.frozen
 class ReplaceLink:
-    """Drop the connection to an address; the next message opens a new one."""
+    """Close the connection to an address; the next message opens a new one."""
 
     to: Address
 
 
 @attrs.frozen
 class MemberChanged:
-    """The belief about a member changed."""
+    """The known state of a member changed."""
 
     member: MemberState
 
 
 @attrs.frozen
 class UpdateAccepted:
-    """An update of another kind is newer than the one held."""
+    """An update other than a member state replaced an older one."""
 
     update: Update
 
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class VersionConflict:
-    """A peer holds the same version with another hash."""
+    """A peer holds the same version with a different hash."""
 
     version: int
     peer: Address
@@ -54,20 +54,20 @@
 
 @attrs.frozen
 class RecordFolded:
-    """The fold decided on a record."""
+    """The configuration fold processed a record."""
 
     event: FoldEvent
 
 
 @attrs.frozen
 class RecordsRelayed:
-    """Records of the ownership stream are known here, in their order.
+    """Records of the ownership stream were received, in order.
 
     Attributes
     ----------
     from_offset, next_offset : int
-        Offsets covered, the last excluded; the first is above the offset that
-        was wanted if records were dropped.
+        Half-open range of offsets covered; ``from_offset`` is above the expected
+        offset if records were dropped.
     """
 
     from_offset: int
--- a/azurestep/control/packing.py
+++ b/azurestep/control/packing.py
@@ -1,7 +1,4 @@
-"""Compact form of log records on their way between nodes.
-
-Ownership records are alike, so a batch of them shrinks to a fraction.
-"""
+"""Compression of batches of similar log records that nodes exchange."""
 
 import zlib
 from collections.abc import Sequence
@@ -15,7 +12,7 @@
 
 
 def pack_records(records: Sequence[RelayedRecord]) -> bytes:
-    """Return records in compressed form; empty for none."""
+    """Compress records; return empty bytes if there are none."""
     if not records:
         return b""
     plain = [(record.offset, record.payload) for record in records]
@@ -23,12 +20,12 @@
 
 
 def unpack_records(packed: bytes) -> list[RelayedRecord]:
-    """Return the records of a compressed form.
+    """Decompress records.
 
     Raises
     ------
     MessageMalformedError
-        If it can't be unpacked within ``MAX_UNPACKED_BYTES``.
+        If the data is invalid or exceeds ``MAX_UNPACKED_BYTES``.
 
     Examples
     --------
@@ -41,12 +38,12 @@
         stream = zlib.decompressobj()
         raw = stream.decompress(packed, MAX_UNPACKED_BYTES)
         if not stream.eof:
-            raise ValueError("too large or cut")
+            raise ValueError("truncated or too large")
         return [
             RelayedRecord(offset, payload) for offset, payload in msgpack.unpackb(raw)
         ]
     except Exception as error:
         raise MessageMalformedError(
-            f"records from a peer can't be unpacked: {error}",
-            "Check that all nodes run programs of neighbouring versions",
+            f"cannot unpack records from a peer: {error}",
+            "Check that all nodes run the same or adjacent versions",
         ) from error
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -22,7 +22,7 @@
         await link.close()
 
 
-async def test_first_message_on_a_new_connection_arrives(links) -> None:
+async def test_first_message_on_new_connection_is_delivered(links) -> None:
     one, other = links
     other.open()
     assert one.send(other._own.address, RetryLater(5))
@@ -30,7 +30,7 @@
         assert (await other.receive()).message == RetryLater(5)
 
 
-async def test_message_to_a_peer_that_is_gone_is_known_to_be_unsent(links) -> None:
+async def test_message_to_unreachable_peer_is_reported_as_dropped(links) -> None:
     one, other = links
     dropped = asyncio.Event()
     one.send(other._own.address, RetryLater(5), dropped.set)
@@ -39,7 +39,7 @@
     assert one.counters.sent_frames == 0
 
 
-async def test_messages_keep_their_order_while_the_connection_comes_up(links) -> None:
+async def test_message_order_is_kept_while_connecting(links) -> None:
     one, other = links
     other.open()
     for number in range(20):
@@ -49,7 +49,7 @@
     assert received == [RetryLater(number) for number in range(20)]
 
 
-def test_waiting_frames_are_bounded() -> None:
+def test_waiting_frames_per_peer_are_limited() -> None:
     waiting = WaitingFrames()
     taken = [waiting.add(PEER, b"x", 0.0) for _ in range(FRAMES_PER_PEER + 1)]
     assert taken == [True] * FRAMES_PER_PEER + [False]
--- a/tests/test_control_pages.py
+++ b/tests/test_control_pages.py
@@ -44,7 +44,7 @@
     ]
 
 
-def test_ownership_page_overtaken_by_a_push_is_no_regression(
+def test_stale_ownership_page_is_not_a_regression(
     control: ControlService,
 ) -> None:
     control._take(OwnershipPageRead(ownership_page(1, 6)))
@@ -53,7 +53,7 @@
     assert control.relay.next_offset == 7
 
 
-def test_ownership_log_that_ends_below_the_offset_asked_for_has_regressed(
+def test_ownership_log_shorter_than_requested_offset_is_a_regression(
     control: ControlService,
 ) -> None:
     control._take(OwnershipPageRead(ownership_page(1, 6)))
@@ -61,7 +61,7 @@
     assert len(regressions(restored)) == 1
 
 
-def test_configuration_page_overtaken_by_a_push_is_no_regression(
+def test_stale_configuration_page_is_not_a_regression(
     control: ControlService,
 ) -> None:
     control._take(PageRead(configuration_page()))
@@ -70,7 +70,7 @@
     assert regressions(late) == []
 
 
-def test_configuration_log_that_ends_below_the_offset_asked_for_has_regressed(
+def test_configuration_log_shorter_than_requested_offset_is_a_regression(
     control: ControlService,
 ) -> None:
     control._take(PageRead(configuration_page()))
