--- a/azurestep/control/beliefs.py
+++ b/azurestep/control/beliefs.py
@@ -8,7 +8,7 @@
 from ..settings import ControlSettings
 from .comparison import sync_request
 from .messages import Probe
-from .outputs import Learned, MemberChanged, Output, Send
+from .outputs import MemberChanged, Output, Send, UpdateAccepted
 from .roster import Roster
 from .seeds import Seeds
 from .table import stamp_of
@@ -126,7 +126,7 @@
                 outputs.extend(self._merge_member(update, now_ms, channel))
             elif self._roster.table.merge(update):
                 self._queue_update(update, channel)
-                outputs.append(Learned(update))
+                outputs.append(UpdateAccepted(update))
                 outputs.extend(self._sync_unknown_bridges(update))
         return outputs
 
--- a/azurestep/control/membership.py
+++ b/azurestep/control/membership.py
@@ -16,9 +16,9 @@
 from .messages import (
     Ack,
     Broadcast,
+    IndirectAck,
     Message,
     Probe,
-    ProbeRelayed,
     ProbeRequest,
     Sender,
     SyncReply,
@@ -122,7 +122,7 @@
         return self._prober.relay_probe(message, sender, now_ms)
 
     @handle.register
-    def _(self, message: ProbeRelayed, sender: Sender, now_ms: float) -> list[Output]:
+    def _(self, message: IndirectAck, sender: Sender, now_ms: float) -> list[Output]:
         self._prober.record_relayed_ack(message)
         return []
 
--- a/azurestep/control/probing.py
+++ b/azurestep/control/probing.py
@@ -6,7 +6,7 @@
 from ..settings import Address, ControlSettings
 from .beliefs import NO_SEQUENCE, SuspicionTracker
 from .detector import Detector, ProbeFailure, ProbeRetry
-from .messages import Ack, Probe, ProbeRelayed, ProbeRequest, Sender
+from .messages import Ack, IndirectAck, Probe, ProbeRequest, Sender
 from .outputs import Output, ReplaceLink, Send
 from .ring import neighbours
 from .roster import Roster
@@ -129,9 +129,9 @@
         if relayed is None:
             return []
         to, sequence = relayed
-        return [Send(to, ProbeRelayed(sequence))]
+        return [Send(to, IndirectAck(sequence))]
 
-    def record_relayed_ack(self, relayed: ProbeRelayed) -> None:
+    def record_relayed_ack(self, relayed: IndirectAck) -> None:
         """Record that a helper received an ack from the member."""
         self._detector.record_relayed_ack(relayed.sequence)
 
--- a/azurestep/control/reports.py
+++ b/azurestep/control/reports.py
@@ -9,7 +9,7 @@
 import attrs
 
 from .membership import Membership
-from .messages import Applied, Digest
+from .messages import AppliedReport, Digest
 from .outputs import Output
 from .updates import DataCentreReport
 
@@ -44,8 +44,8 @@
         bridges = self._membership.bridges()
         return bridges[0] if bridges else None
 
-    def record_applied(self, applied: Applied) -> None:
-        """Add the instances of an ``Applied`` message to the tally of its version."""
+    def record_applied(self, applied: AppliedReport) -> None:
+        """Add the instances of a report to the tally of its version."""
         version = applied.digest.version
         tally = self._tallies.get(version)
         if tally is None:
