--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -56,7 +56,7 @@
         self._stream: Stream | None = None
         self._earlier_run: EarlierRun | None = None
         self._fallback_answer: Answer | None = None
-        self._unconfirmed_runs = 0
+        self._possible_runs = 0
         self._withdrawn = False
         self._refusal: Refusal | None = None
         self._writer = AnswerWriter(exchange)
@@ -164,7 +164,7 @@
             return
         if self._withdrawn or not self._selector.has_alternative():
             return
-        if confirmed and not self._may_run_in_parallel():
+        if confirmed and not self._try_reserve_parallel_run():
             return
         stream, self._stream = self._stream, None
         self._selector.release()
@@ -177,12 +177,12 @@
         self._log_retry(Reason.LINK_LOST)
         self._dispatch()
 
-    def _may_run_in_parallel(self) -> bool:
+    def _try_reserve_parallel_run(self) -> bool:
         if self._earlier_run is not None or not self._request_builder.is_reroutable():
             return False
         self.record.runs += 1
-        if self._may_retry():
-            self._unconfirmed_runs += 1
+        if self._try_spend_retry():
+            self._possible_runs += 1
             return True
         self.record.runs -= 1
         return False
@@ -209,19 +209,19 @@
             return
         self._earlier_run = None
         if not may_have_run:
-            self._uncount_unconfirmed_run()
+            self._uncount_possible_run()
 
-    def _uncount_unconfirmed_run(self) -> None:
+    def _uncount_possible_run(self) -> None:
         """Subtract a run that was counted when its peer became unresponsive."""
         self.record.runs -= 1
-        self._unconfirmed_runs -= 1
+        self._possible_runs -= 1
 
     def _resume_earlier_run(self) -> bool:
         """Wait for the earlier run only, if it is still active."""
         earlier, self._earlier_run = self._earlier_run, None
         if earlier is None:
             return False
-        self._uncount_unconfirmed_run()
+        self._uncount_possible_run()
         self._stream = earlier.stream
         earlier.stream.replace_receiver(self)
         self._selector.assign(earlier.endpoint)
@@ -255,7 +255,7 @@
             not self._body.streamed and self.record.nodes_tried < MAX_NODES_TRIED
         )
         if refusal.reached_backend and may_retry:
-            may_retry = self._may_retry()
+            may_retry = self._try_spend_retry()
         if may_retry:
             self._log_retry(reason)
             self._dispatch()
@@ -272,13 +272,17 @@
         endpoint = self._selector.release()
         reason = Reason(failure.reason)
         self.record.runs += 1
-        self._unconfirmed_runs += 1
+        self._possible_runs += 1
         if endpoint is not None:
             self._selector.avoid(endpoint)
         if self._writer.started:
             self._close(cancel=False)
             self._outcome.report_failed(reason)
-        elif self.route.idempotent and not self._body.streamed and self._may_retry():
+        elif (
+            self.route.idempotent
+            and not self._body.streamed
+            and self._try_spend_retry()
+        ):
             self._log_retry(reason)
             self._dispatch()
         else:
@@ -295,7 +299,7 @@
             self.context.mean_run_times.learn(self.route.name, answer.mean_run_ms)
         if self._is_retriable_error(answer) and not self._body.streamed:
             self.record.runs += 1
-            self._unconfirmed_runs += 1
+            self._possible_runs += 1
             if self._replace_error(answer, endpoint):
                 return
         self._selector.release()
@@ -305,7 +309,7 @@
 
     def _replace_error(self, answer: Answer, endpoint: Endpoint | None) -> bool:
         """Wait for another run instead of passing an error on, if one is possible."""
-        retries = self._may_retry()
+        retries = self._try_spend_retry()
         if not retries and self._earlier_run is None:
             return False
         self._keep_fallback_answer(answer)
@@ -367,7 +371,7 @@
 
     # Completion.
 
-    def _may_retry(self) -> bool:
+    def _try_spend_retry(self) -> bool:
         now_ms = self._now_ms()
         if (
             self.record.runs >= self.route.max_attempts
@@ -386,7 +390,7 @@
             self._refuse(Reason(refusal.reason), refusal.retry_after_ms)
 
     def _refuse(self, reason: Reason, retry_after_ms: float) -> None:
-        if self._unconfirmed_runs:
+        if self._possible_runs:
             self._fail(reason)
             return
         self._close(cancel=True)
@@ -440,7 +444,7 @@
 
     def _refuse_at_deadline(self) -> None:
         """Refuse the request at its deadline, or time out if it may have run."""
-        if self._unconfirmed_runs:
+        if self._possible_runs:
             self._time_out()
         else:
             self._refuse(self._deadline_reason(Reason.TOO_LATE), MIN_RETRY_AFTER_MS)
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -28,7 +28,7 @@
     fields_of,
 )
 from ..runtime import Runtime
-from .decoding import NO_STREAM, OF_CALLED_NODES, Decoder
+from .decoding import NO_STREAM, PEER_CONNECTION_SCHEMAS, Decoder
 from .interfaces import CallReceiver, FleetListener
 
 BUSY_PROBE_INTERVAL_MS = 90.0
@@ -110,7 +110,7 @@
         self.streams: dict[int, RemoteStream] = {}
         self.last_received_ms = link.runtime.now_ms()
         self.last_probe_ms = self.last_received_ms
-        self._decoder = Decoder(OF_CALLED_NODES)
+        self._decoder = Decoder(PEER_CONNECTION_SCHEMAS)
         self._transport: asyncio.Transport | None = None
         self._last_stream_id = 0
         self._retired = False
@@ -139,13 +139,13 @@
             try:
                 HANDLERS[type(message)](self, stream, message)
             except Exception as error:
-                self._contain(stream, error)
+                self._handle_fault(stream, error)
         self.close_if_done()
         if self._decoder.fault:
             events.log(events.PEER_MALFORMED, cause=self._decoder.fault)
             self.abort()
 
-    def _contain(self, stream: RemoteStream | None, error: Exception) -> None:
+    def _handle_fault(self, stream: RemoteStream | None, error: Exception) -> None:
         """Cancel the request whose handling failed; the others continue."""
         runtime = self.link.runtime
         request_id = b"" if stream is None else stream.request_id
@@ -196,7 +196,7 @@
         try:
             notify(event)
         except Exception as error:
-            self._contain(stream, error)
+            self._handle_fault(stream, error)
 
     def send(self, kind: Kind, *fields: object) -> None:
         """Send a message."""
--- a/azurestep/mesh/links/decoding.py
+++ b/azurestep/mesh/links/decoding.py
@@ -48,7 +48,7 @@
 length is read, so that a few bytes could claim all memory."""
 NO_STREAM = 0
 """Stream id of messages that concern no single request."""
-BUILT_IN = (bytes,)
+UNCONVERTED_TYPES = (bytes,)
 as_tuple = msgspec.structs.astuple
 
 Message = (
@@ -97,7 +97,7 @@
 
 
 def _schema(
-    of: type,
+    message_class: type,
     build: Callable[..., Message] | None = None,
     has_stream_id: bool = True,
     **overrides: Any,
@@ -106,21 +106,24 @@
     columns: list[Any] = [("kind_", int)]
     if has_stream_id:
         columns.append(("number_", StreamId))
-    for field in attrs.fields(attrs.resolve_types(of)):
+    for field in attrs.fields(attrs.resolve_types(message_class)):
         column = (field.name, overrides.get(field.name, field.type))
         has_default = field.default is not attrs.NOTHING
         columns.append((*column, field.default) if has_default else column)
     row = msgspec.defstruct(
-        of.__name__, columns, array_like=True, forbid_unknown_fields=of is not Hello
+        message_class.__name__,
+        columns,
+        array_like=True,
+        forbid_unknown_fields=message_class is not Hello,
     )
-    return MessageSchema(_make_validator(row), build or of, has_stream_id)
+    return MessageSchema(_make_validator(row), build or message_class, has_stream_id)
 
 
 def _make_validator(row: type) -> Callable[[tuple[Any, ...]], Any]:
     """Return the validator of a row; only rows with bytes need a slower one."""
     convert = msgspec.convert
     if "bytes" in repr(typing.get_type_hints(row)):
-        return lambda fields: convert(fields, row, builtin_types=BUILT_IN)
+        return lambda fields: convert(fields, row, builtin_types=UNCONVERTED_TYPES)
     return lambda fields: convert(fields, row)
 
 
@@ -143,7 +146,7 @@
 _CREDIT = _schema(Credit)
 _CRASH_ROWS = tuple[tuple[int, tuple[tuple[str, int, int], ...], float], ...]
 
-OF_CALLING_NODES: MessageSchemas = {
+INCOMING_LINK_SCHEMAS: MessageSchemas = {
     Kind.HELLO: _HELLO,
     Kind.PING: _schema(Ping, has_stream_id=False),
     Kind.REQUEST: _schema(Request),
@@ -155,7 +158,7 @@
     Kind.CONFIGURATION_QUERY: _schema(ConfigurationQuery, has_stream_id=False),
 }
 """Kinds of messages that the node that opened a link may send."""
-OF_CALLED_NODES: MessageSchemas = {
+PEER_CONNECTION_SCHEMAS: MessageSchemas = {
     Kind.HELLO: _HELLO,
     Kind.STATE: _schema(State, has_stream_id=False),
     Kind.PONG: _schema(Pong, has_stream_id=False),
@@ -192,7 +195,7 @@
     Examples
     --------
     >>> from azurestep.mesh.messages import encode
-    >>> decoder = Decoder(OF_CALLING_NODES)
+    >>> decoder = Decoder(INCOMING_LINK_SCHEMAS)
     >>> decoder.feed(encode(Kind.CREDIT, 7, 500))
     [(7, Credit(size=500))]
     >>> decoder.feed(encode(Kind.CREDIT, 7, "many")), decoder.fault
--- a/azurestep/mesh/links/server.py
+++ b/azurestep/mesh/links/server.py
@@ -32,7 +32,7 @@
     fields_of,
 )
 from ..runtime import Runtime
-from .decoding import NO_STREAM, OF_CALLING_NODES, Decoder, Message
+from .decoding import INCOMING_LINK_SCHEMAS, NO_STREAM, Decoder, Message
 from .remote_receiver import OutcomeForwarder
 
 PONG = encode(Kind.PONG)
@@ -149,7 +149,7 @@
     def __init__(self, incoming_links: IncomingLinks) -> None:
         self.incoming_links = incoming_links
         self.peer: Hello | None = None
-        self._decoder = Decoder(OF_CALLING_NODES)
+        self._decoder = Decoder(INCOMING_LINK_SCHEMAS)
         self._transport: asyncio.Transport | None = None
         self._has_written_outcome = False
         self._runs: dict[int, Run] = {}
@@ -186,12 +186,12 @@
             try:
                 HANDLERS[type(message)](self, stream_id, message)
             except Exception as error:
-                self._contain(stream_id, message, error)
+                self._handle_fault(stream_id, message, error)
         if self._decoder.fault:
             events.log(events.PEER_MALFORMED, cause=self._decoder.fault)
             self.abort()
 
-    def _contain(self, stream_id: int, message: Message, error: Exception) -> None:
+    def _handle_fault(self, stream_id: int, message: Message, error: Exception) -> None:
         """Fail the request whose handling failed; the others continue.
 
         The run is cancelled rather than failed, so that the internal error doesn't
@@ -240,7 +240,7 @@
             self._transport.abort()
 
     def _on_request(self, stream_id: int, request: Request) -> None:
-        late_ms = self._update_delay_ms(request.sent_ms)
+        late_ms = self._record_delay(request.sent_ms)
         if late_ms > LATE_AFTER_MS:
             request = attrs.evolve(
                 request,
@@ -253,7 +253,7 @@
             self._runs[stream_id] = run
 
     def _on_ping(self, _: int, ping: Ping) -> None:
-        self._update_delay_ms(ping.sent_ms)
+        self._record_delay(ping.sent_ms)
         self.write(PONG)
 
     def _on_hello(self, _: int, hello: Hello) -> None:
@@ -289,7 +289,7 @@
         if run is not None:
             run.body(body.data, body.whole)
 
-    def _update_delay_ms(self, sent_ms: float) -> float:
+    def _record_delay(self, sent_ms: float) -> float:
         delay_ms = self.incoming_links.runtime.now_ms() - sent_ms
         min_delay_ms = self._min_delay_ms
         if min_delay_ms is None or delay_ms < min_delay_ms:
--- a/tests/test_mesh_containment_callers.py
+++ b/tests/test_mesh_containment_callers.py
@@ -53,7 +53,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + (body or b"")
 
 
-async def send_raw(instance: MeshInstance, data: bytes, most: int) -> list[int]:
+async def send_raw(instance: MeshInstance, data: bytes, max_answers: int) -> list[int]:
     """Send requests on one connection; return the statuses in their order."""
     reader, writer = await asyncio.open_connection(instance.host, CALLER_PORT)
     writer.write(data)
@@ -61,7 +61,7 @@
     text = b""
     with contextlib.suppress(TimeoutError, ConnectionError):
         async with asyncio.timeout(1.0):
-            while len(found) < most and (piece := await reader.read(65_536)):
+            while len(found) < max_answers and (piece := await reader.read(65_536)):
                 text += piece
                 found = [int(one) for one in re.findall(rb"HTTP/1.1 (\d+) ", text)]
     writer.close()
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -13,7 +13,11 @@
 from azurestep.mesh.links import decoding
 from azurestep.mesh.links.connection import HANDLERS as CONNECTION_HANDLERS
 from azurestep.mesh.links.connection import PeerConnection, RemoteStream
-from azurestep.mesh.links.decoding import OF_CALLED_NODES, OF_CALLING_NODES, Decoder
+from azurestep.mesh.links.decoding import (
+    INCOMING_LINK_SCHEMAS,
+    PEER_CONNECTION_SCHEMAS,
+    Decoder,
+)
 from azurestep.mesh.links.server import HANDLERS as INCOMING_HANDLERS
 from azurestep.mesh.links.server import IncomingLink
 from azurestep.mesh.messages import (
@@ -199,7 +203,7 @@
 def test_messages_are_decoded_wherever_their_bytes_are_split(
     end: RecordingEnd, kinds: list[Kind], data: st.DataObject
 ) -> None:
-    accepted = OF_CALLING_NODES if end.called else OF_CALLED_NODES
+    accepted = INCOMING_LINK_SCHEMAS if end.called else PEER_CONNECTION_SCHEMAS
     text = b"".join(encode(kind, *VALID_FIELDS[kind]) for kind in kinds)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=4)))
     edges = [0, *cuts, len(text)]
@@ -210,7 +214,9 @@
 
 def test_every_kind_of_message_has_a_handler_and_a_schema() -> None:
     assert (
-        set(OF_CALLING_NODES) | set(OF_CALLED_NODES) == set(Kind) == set(VALID_FIELDS)
+        set(INCOMING_LINK_SCHEMAS) | set(PEER_CONNECTION_SCHEMAS)
+        == set(Kind)
+        == set(VALID_FIELDS)
     )
     made = {*INCOMING_HANDLERS, *CONNECTION_HANDLERS}
     assert isinstance(decoding.Message, types.UnionType)
@@ -226,34 +232,34 @@
 
 @pytest.mark.parametrize("reason", [0, 99])
 def test_unknown_reason_is_rejected(reason: int) -> None:
-    decoder = Decoder(OF_CALLED_NODES)
+    decoder = Decoder(PEER_CONNECTION_SCHEMAS)
     assert decoder.feed(encode(Kind.FAILURE, STREAM, reason, 0)) == []
     assert decoder.fault
-    decoder = Decoder(OF_CALLED_NODES)
+    decoder = Decoder(PEER_CONNECTION_SCHEMAS)
     found = decoder.feed(encode(Kind.FAILURE, STREAM, 9, 0))
     assert found == [(STREAM, Failure(Reason.RESET, 0))]
 
 
 def test_greeting_of_a_newer_version_may_have_more_fields() -> None:
-    decoder = Decoder(OF_CALLED_NODES)
+    decoder = Decoder(PEER_CONNECTION_SCHEMAS)
     (found,) = decoder.feed(encode(Kind.HELLO, *fields_of(HELLO), "more"))
     assert found == (decoding.NO_STREAM, HELLO)
 
 
 def test_other_protocol_version_is_rejected() -> None:
-    decoder = Decoder(OF_CALLED_NODES)
+    decoder = Decoder(PEER_CONNECTION_SCHEMAS)
     other = attrs.evolve(HELLO, format=PROTOCOL_VERSION + 1)
     assert decoder.feed(encode(Kind.HELLO, *fields_of(other))) == []
     assert "format" in decoder.fault
 
 
 def test_unknown_kinds_are_skipped() -> None:
-    decoder = Decoder(OF_CALLING_NODES)
+    decoder = Decoder(INCOMING_LINK_SCHEMAS)
     assert decoder.feed(msgpack.packb([99, {"a": 1}]) + encode(Kind.PROCEED, 7))
     assert not decoder.fault
 
 
 def test_no_memory_is_allocated_for_items_that_never_arrive() -> None:
-    decoder = Decoder(OF_CALLING_NODES)
+    decoder = Decoder(INCOMING_LINK_SCHEMAS)
     assert decoder.feed(b"\xdd\x05\xff\xff\xff") == []
     assert decoder.fault
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -12,17 +12,17 @@
 from standins.signing_server import Received, signed
 
 from .fixtures_mesh import MeshFleet, MeshInstance
-from .test_mesh_faults import eventually, silence
-from .test_mesh_refusals import only, read
+from .test_mesh_faults import block_sending, eventually
+from .test_mesh_refusals import drain_all_but, read
 
 
-def restore_answers(instance: MeshInstance) -> None:
+def unblock_sending(instance: MeshInstance) -> None:
     """Let a silenced node send to its peers again."""
     for link in list(instance.node.incoming_links.links):
         vars(link).pop("write", None)
 
 
-async def reopen(mesh: MeshFleet, instance: MeshInstance) -> None:
+async def start_another_server(mesh: MeshFleet, instance: MeshInstance) -> None:
     """Start another backend server beside a node whose former one has left."""
     instance.server.instance_id += "b"
     await instance.beat(mesh.session)
@@ -37,11 +37,11 @@
 async def start_run_at_first(mesh: MeshFleet, work_s: float = 1.0) -> asyncio.Task[int]:
     """Start a read at the first instance, then open the second one too."""
     serving, other, asking = mesh.instances
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = work_s
     task = asyncio.create_task(read(mesh, asking, "m1"))
     await eventually(lambda: serving.server.runs["m1"] == 1)
-    await reopen(mesh, other)
+    await start_another_server(mesh, other)
     return task
 
 
@@ -68,9 +68,9 @@
     serving, other, _ = mesh.instances
     other.server.misbehave = misbehave
     task = await start_run_at_first(mesh)
-    silence(serving)
+    block_sending(serving)
     await eventually(lambda: other.server.runs["m1"] == 1, 0.6)
-    restore_answers(serving)
+    unblock_sending(serving)
     assert await task == 200
     assert serving.server.runs["m1"] == 1
     assert serving.server.cancelled == 0
@@ -82,9 +82,9 @@
     serving, other, _ = mesh.instances
     other.server.work_s = 1.0
     task = await start_run_at_first(mesh, work_s=0.6)
-    silence(serving)
+    block_sending(serving)
     await eventually(lambda: other.server.runs["m1"] == 1, 0.6)
-    restore_answers(serving)
+    unblock_sending(serving)
     assert await task == 200
     await eventually(lambda: other.server.cancelled == 1, 0.3)
 
@@ -95,7 +95,7 @@
     serving, other, _ = mesh.instances
     other.server.work_s = 0.1
     task = await start_run_at_first(mesh, work_s=1.1)
-    silence(serving)
+    block_sending(serving)
     assert await task == 200
     assert other.server.runs["m1"] == 1
     await eventually(lambda: serving.server.cancelled == 1, 0.3)
@@ -105,7 +105,7 @@
     serving, other, _ = mesh.instances
     other.server.work_s = 1.0
     task = await start_run_at_first(mesh)
-    silence(serving)
+    block_sending(serving)
     await eventually(lambda: other.server.runs["m1"] == 1, 0.6)
     task.cancel()
     await eventually(
@@ -117,16 +117,16 @@
     mesh: MeshFleet,
 ) -> None:
     serving, _, asking = mesh.instances
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 1.0
     link = asking.node.members.links[serving.node.settings.peer_address]
     silent = link.connection
     assert isinstance(silent, PeerConnection)
     task = asyncio.create_task(read(mesh, asking, "c1"))
     await eventually(lambda: serving.server.runs["c1"] == 1)
-    silence(serving)
+    block_sending(serving)
     await eventually(lambda: link.connection is not silent, 1.0)
-    restore_answers(serving)
+    unblock_sending(serving)
     assert await task == 200
     await eventually(silent._transport.is_closing, 0.3)
 
@@ -137,7 +137,7 @@
     serving, other, asking = mesh.instances
     other.node.inbound.admission.drain_deadline_ms = 0.0
     task = await start_run_at_first(mesh)
-    silence(serving)
+    block_sending(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
     asking.server.instance_id += "b"
     await asking.beat(mesh.session)
@@ -153,7 +153,7 @@
     mesh: MeshFleet,
 ) -> None:
     serving, other, asking = mesh.instances
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 0.9
     running = [
         asyncio.create_task(read(mesh, serving, f"h{index}")) for index in range(4)
@@ -162,10 +162,10 @@
     task = asyncio.create_task(read(mesh, asking, "n1"))
     await eventually(lambda: serving.node.inbound.admission.in_flight == 5)
     other.node.inbound.admission.drain_deadline_ms = 0.0
-    await reopen(mesh, other)
-    silence(serving)
+    await start_another_server(mesh, other)
+    block_sending(serving)
     await eventually(lambda: other.node.inbound.load.refused > 0, 0.6)
-    restore_answers(serving)
+    unblock_sending(serving)
     serving.node.inbound.stop(0.0)
     assert await task == 503
     assert serving.server.runs["n1"] == other.server.runs["n1"] == 0
--- a/tests/test_mesh_downloads.py
+++ b/tests/test_mesh_downloads.py
@@ -8,7 +8,7 @@
 from standins.signing_server import Received, signed
 
 from .fixtures_mesh import MeshFleet
-from .test_mesh_faults import eventually, silence
+from .test_mesh_faults import block_sending, eventually
 
 HALF_A_MEGABYTE = 540_000
 
@@ -123,7 +123,7 @@
     task = asyncio.create_task(mesh.get(caller, "/read/1", "m1"))
     await eventually(lambda: any(one.server.runs["m1"] for one in servers))
     unresponsive = next(one for one in servers if one.server.runs["m1"])
-    silence(unresponsive)
+    block_sending(unresponsive)
     await asyncio.sleep(0.35)
     for server in list(unresponsive.node.incoming_links.links):
         del server.write
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -181,7 +181,7 @@
     assert [status for status, _ in await asyncio.gather(*calls)] == [200] * 4
 
 
-def silence(instance: MeshInstance) -> None:
+def block_sending(instance: MeshInstance) -> None:
     """Drop what a node sends to its peers; it still receives."""
     for link in list(instance.node.incoming_links.links):
         link.write = lambda data: None  # type: ignore[method-assign]
@@ -191,7 +191,7 @@
     caller, silent, healthy = mesh.instances
     await caller.beat(mesh.session, "draining")
     await asyncio.sleep(0.05)
-    silence(silent)
+    block_sending(silent)
     statuses = await asyncio.gather(
         *(pay(mesh, caller, f"c{index}") for index in range(6))
     )
@@ -201,13 +201,13 @@
         assert runs == [0, 0, 1]
 
 
-async def test_reads_leave_a_silent_node_before_their_objective(
+async def test_reads_are_retried_before_their_objective_if_a_node_is_silent(
     mesh: MeshFleet,
 ) -> None:
     caller, silent, _ = mesh.instances
     await caller.beat(mesh.session, "draining")
     await asyncio.sleep(0.05)
-    silence(silent)
+    block_sending(silent)
     loop = asyncio.get_running_loop()
     began = loop.time()
     answers = await asyncio.gather(
@@ -229,7 +229,7 @@
     return statuses
 
 
-async def test_shutdown_under_load_cuts_no_request(
+async def test_shutdown_under_load_answers_all_requests(
     mesh: MeshFleet,
 ) -> None:
     for item in mesh.instances:
--- a/tests/test_mesh_leaving_callers.py
+++ b/tests/test_mesh_leaving_callers.py
@@ -8,7 +8,7 @@
 
 from .fixtures_mesh import CALLER_PORT, MeshFleet, MeshInstance, caller_headers
 from .test_mesh_faults import eventually
-from .test_mesh_refusals import only, read
+from .test_mesh_refusals import drain_all_but, read
 
 LONG_MS = 2_000.0
 """Run time with which no waiting read can end in time."""
@@ -33,7 +33,7 @@
     mesh: MeshFleet,
 ) -> None:
     serving, asked = mesh.instances[:2]
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 0.5
     admission = serving.node.inbound.admission
     slots = serving.server.slots
--- a/tests/test_mesh_refusals.py
+++ b/tests/test_mesh_refusals.py
@@ -5,10 +5,10 @@
 import pytest
 
 from .fixtures_mesh import MeshFleet, MeshInstance
-from .test_mesh_faults import eventually, pay, silence
+from .test_mesh_faults import block_sending, eventually, pay
 
 
-async def only(mesh: MeshFleet, serving: MeshInstance) -> None:
+async def drain_all_but(mesh: MeshFleet, serving: MeshInstance) -> None:
     """Drain all backend servers but one, whose run times are known to be short."""
     for instance in mesh.instances:
         if instance is not serving:
@@ -27,7 +27,7 @@
     mesh: MeshFleet, asked: int
 ) -> None:
     serving = mesh.instances[0]
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 3.0
     names = [f"w{index}" for index in range(8)]
     statuses = await asyncio.gather(
@@ -42,7 +42,7 @@
     mesh: MeshFleet,
 ) -> None:
     serving = mesh.instances[0]
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 3.0
     names = [f"p{index}" for index in range(8)]
     statuses = await asyncio.gather(
@@ -58,13 +58,13 @@
     mesh: MeshFleet,
 ) -> None:
     serving = mesh.instances[0]
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 3.0
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     task = asyncio.create_task(read(mesh, mesh.instances[1], "s1"))
     await eventually(lambda: serving.server.runs["s1"] == 1)
-    silence(serving)
+    block_sending(serving)
     assert await task in (502, 504)
     assert loop.time() - began_s < 1.45
 
@@ -73,7 +73,7 @@
     mesh: MeshFleet,
 ) -> None:
     serving = mesh.instances[0]
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 1.15
     names = [f"t{index}" for index in range(8)]
     statuses = await asyncio.gather(*(read(mesh, serving, name) for name in names))
@@ -85,11 +85,11 @@
     mesh: MeshFleet,
 ) -> None:
     serving = mesh.instances[0]
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 1.0
     task = asyncio.create_task(read(mesh, mesh.instances[1], "g1"))
     await eventually(lambda: serving.server.runs["g1"] == 1)
-    silence(serving)
+    block_sending(serving)
     await asyncio.sleep(0.85)
     for link in list(serving.node.incoming_links.links):
         vars(link).pop("write", None)
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -23,9 +23,9 @@
     caller_headers,
     document,
 )
-from .test_mesh_doubt import reopen
+from .test_mesh_doubt import start_another_server
 from .test_mesh_faults import eventually
-from .test_mesh_refusals import only
+from .test_mesh_refusals import drain_all_but
 
 LONG_MS = 9000
 """Longer than a shutdown."""
@@ -78,7 +78,7 @@
     patient: MeshFleet, asked: int
 ) -> None:
     serving, stopping = patient.instances[0], patient.instances[asked]
-    await only(patient, serving)
+    await drain_all_but(patient, serving)
     serving.server.work_s = 8.5
     names = [f"w{index}" for index in range(8)]
     calls = [asyncio.create_task(read(patient, stopping, name)) for name in names]
@@ -94,7 +94,7 @@
     patient: MeshFleet,
 ) -> None:
     serving, stopping = patient.instances[:2]
-    await only(patient, serving)
+    await drain_all_but(patient, serving)
     serving.server.work_s = 5.0
     calls = [asyncio.create_task(read(patient, stopping, f"r{i}")) for i in range(3)]
     await asyncio.sleep(0.1)
@@ -106,7 +106,7 @@
     patient: MeshFleet,
 ) -> None:
     serving, stopping = patient.instances[:2]
-    await only(patient, serving)
+    await drain_all_but(patient, serving)
     serving.server.work_s = 8.5
     names = [f"w{index}" for index in range(4)]
     calls = [asyncio.create_task(read(patient, stopping, name)) for name in names]
@@ -120,7 +120,7 @@
     patient: MeshFleet,
 ) -> None:
     serving, stopping = patient.instances[:2]
-    await only(patient, serving)
+    await drain_all_but(patient, serving)
     stopping.node.stop()
     assert await read(patient, stopping, "late-1") == 200
     left_ms = float(serving.server.received[-1].headers["deadline-milliseconds"])
@@ -187,7 +187,7 @@
     patient: MeshFleet,
 ) -> None:
     serving, asking = patient.instances[:2]
-    await only(patient, serving)
+    await drain_all_but(patient, serving)
     body = b"x" * 240_000
     serving.server.misbehave = lambda received: signed(received, body)
     link = asking.node.members.links[serving.node.settings.peer_address]
@@ -217,13 +217,13 @@
     patient: MeshFleet,
 ) -> None:
     stopping, other, asking = patient.instances
-    await only(patient, stopping)
+    await drain_all_but(patient, stopping)
     set_mean_run_ms(stopping, 4500)
     stopping.server.work_s = 4.5
     names = [f"q{index}" for index in range(8)]
     calls = [asyncio.create_task(read(patient, asking, name)) for name in names]
     await eventually(lambda: stopping.node.inbound.admission.in_flight == len(names))
-    await reopen(patient, other)
+    await start_another_server(patient, other)
     stopping.node.stop()
     done, _ = await asyncio.wait(calls, timeout=1.0)
     assert [call.result() for call in done] == [200] * 4
--- a/tests/test_mesh_stopping_uploads.py
+++ b/tests/test_mesh_stopping_uploads.py
@@ -11,8 +11,8 @@
 from azurestep.platform.topics import CONFIGURATION_KEY, OPERATOR_TOPIC
 
 from .fixtures_mesh import MeshFleet, MeshInstance, caller_headers, document
-from .test_mesh_faults import eventually, silence
-from .test_mesh_refusals import only
+from .test_mesh_faults import block_sending, eventually
+from .test_mesh_refusals import drain_all_but
 from .test_mesh_stopping import CUT, LONG_MS, stop
 
 BODY = b"u" * 60_000
@@ -74,7 +74,7 @@
         lambda: all(item.node.configuration.version == 8 for item in mesh.instances)
     )
     serving, asked = mesh.instances[:2]
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 8.5
     return Stage(mesh, serving, asked)
 
@@ -101,7 +101,7 @@
 
 async def silence_link(stage: Stage) -> None:
     await asyncio.sleep(0.9)
-    silence(stage.serving)
+    block_sending(stage.serving)
 
 
 async def stop_both(stage: Stage) -> None:
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -667,7 +667,7 @@
 
 
 def decoded(raw: bytes, from_caller: bool) -> list[tuple[int, Any]]:
-    calling, called = decoding.OF_CALLING_NODES, decoding.OF_CALLED_NODES
+    calling, called = decoding.INCOMING_LINK_SCHEMAS, decoding.PEER_CONNECTION_SCHEMAS
     decoder = decoding.Decoder(calling if from_caller else called)
     found = decoder.feed(raw)
     assert decoder.fault == ""
@@ -1391,7 +1391,7 @@
 
 def test_places_of_faults() -> None:
     """They are a label of a metric and a field of log lines."""
-    functions = ("run_guarded", "_contain", "report_fault", "fault_handler")
+    functions = ("run_guarded", "_handle_fault", "report_fault", "fault_handler")
     places = [call.args[0] for _, call in calls_of(*functions) if call.args]
     for _, call in calls_of("partial"):
         if name_of(call.args[0]) in functions:
