--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -22,7 +22,7 @@
 MAX_NODES_TRIED = 4
 """Limit of the nodes that one request is sent to."""
 WITHDRAWAL_TIMEOUT_MS = 50.0
-"""Longest wait past the deadline for a peer's reply whether the request has run."""
+"""Time past the deadline in which a peer must report whether the request has run."""
 SERVER_ERROR = 500
 
 
@@ -178,6 +178,7 @@
         self._dispatch()
 
     def _try_reserve_parallel_run(self) -> bool:
+        """Count the run at an unresponsive peer; return whether another may start."""
         if self._earlier_run is not None or not self._request_builder.is_reroutable():
             return False
         self.record.runs += 1
@@ -372,6 +373,7 @@
     # Completion.
 
     def _try_spend_retry(self) -> bool:
+        """Spend a retry of the budget; return False if no further run is allowed."""
         now_ms = self._now_ms()
         if (
             self.record.runs >= self.route.max_attempts
--- a/azurestep/mesh/callers/context.py
+++ b/azurestep/mesh/callers/context.py
@@ -61,7 +61,7 @@
             call.limit_deadline(drain_deadline_ms)
 
     def identify_attempt(self, exchange: Exchange, caller: CallerFields) -> Attempt:
-        """Return the attempt that a new request is, matched to earlier ones."""
+        """Identify a new request as a first attempt or as a retry of an earlier one."""
         now_ms = self.runtime.now_ms()
         request_key = (exchange.method, caller.host, exchange.target)
         if caller.remaining_ms is None:
@@ -83,7 +83,7 @@
 
 @attrs.frozen(slots=True)
 class Target:
-    """Route and service that the configuration chose for a request."""
+    """Route and service of a request, by the configuration with the given version."""
 
     route: Route
     service: str
--- a/azurestep/mesh/callers/deadline.py
+++ b/azurestep/mesh/callers/deadline.py
@@ -23,7 +23,7 @@
     Attributes
     ----------
     deadline_ms : float
-        The earlier of both.
+        The earlier of the caller's deadline and the drain deadline.
     """
 
     def __init__(
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -129,4 +129,4 @@
         """Ignore; the answer is short."""
 
     def on_fault(self) -> None:
-        """Ignore; the connection answers."""
+        """Ignore; the caller's connection answers 502."""
--- a/azurestep/mesh/callers/own_answers.py
+++ b/azurestep/mesh/callers/own_answers.py
@@ -7,8 +7,7 @@
 RETRY_AFTER_JITTER = 0.5
 """Relative jitter of Retry-After, so that refused callers don't retry together."""
 NO_BACKEND_RETRY_AFTER_MS = 250.0
-"""Time after which to retry when no backend server is available: about as long as a
-node takes to detect one that returns."""
+"""Time after which to retry when no backend server is available."""
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
 
--- a/azurestep/mesh/callers/placement.py
+++ b/azurestep/mesh/callers/placement.py
@@ -16,7 +16,7 @@
     Attributes
     ----------
     endpoint : Endpoint or None
-        The one that has the request now.
+        Backend server where the call is counted now, or None.
     """
 
     context: CallContext
--- a/azurestep/mesh/knowledge/configuration_watcher.py
+++ b/azurestep/mesh/knowledge/configuration_watcher.py
@@ -45,7 +45,7 @@
     store_reachable : bool
         Whether the store answered the last call.
     on_store_change : Callable
-        Called when this changed.
+        Called when ``store_reachable`` changes.
     """
 
     runtime: Runtime
--- a/azurestep/mesh/knowledge/discovery.py
+++ b/azurestep/mesh/knowledge/discovery.py
@@ -1,7 +1,7 @@
 """Discovery of peers through the platform's store, at the start of a node.
 
 A node writes its own address before it reads all others. Of any two nodes, the one
-that wrote last finds the other and greets it.
+that wrote last finds the other and opens a link to it.
 """
 
 import asyncio
--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -43,10 +43,10 @@
 
     @property
     def fleet_listener(self) -> FleetListener:
-        """Receiver of news that concern the whole fleet."""
+        """Receiver of configurations and crash reports."""
 
     def on_hello(self, connection: "PeerConnection", hello: Hello) -> None:
-        """Handle the peer's greeting."""
+        """Handle the peer's hello."""
 
     def on_state(self, connection: "PeerConnection", state: State) -> None:
         """Handle the peer's state."""
@@ -64,7 +64,7 @@
     reroutable : bool
         Whether it may be retried when the peer is unresponsive, though it may have run.
     confirmed : bool
-        Whether the peer may have sent it to its backend server.
+        Whether the peer may run it: it needs no confirmation or was confirmed.
     """
 
     connection: "PeerConnection"
@@ -90,7 +90,7 @@
         return self.confirmed
 
     def withdraw(self) -> None:
-        """Cancel the request; the peer replies whether it may have run."""
+        """Cancel the request; the peer reports whether it may have run."""
         self.connection.send(Kind.WITHDRAW, self.stream_id)
 
     def grant(self, size: int) -> None:
@@ -116,7 +116,7 @@
         self._retired = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet the peer and probe it."""
+        """Send a hello and a probe."""
         self._transport = transport  # type: ignore[assignment]
         self.link.connection = self
         self.send(Kind.HELLO, *fields_of(self.link.fleet_listener.hello()))
@@ -301,4 +301,4 @@
     SlotReady: PeerConnection._on_slot_ready,
     Credit: PeerConnection._on_credit,
 }
-"""Handlers by message type; faster than ``singledispatch`` on this hot path."""
+"""Handlers by message type."""
--- a/azurestep/mesh/links/interfaces.py
+++ b/azurestep/mesh/links/interfaces.py
@@ -18,13 +18,13 @@
         """Whether the request may have run, or may still run."""
 
     def cancel(self) -> None:
-        """Cancel the request without a reply."""
+        """Cancel the request; its receiver gets no outcome."""
 
     def withdraw(self) -> None:
         """Cancel the request; its receiver gets a refusal if it has not run."""
 
     def grant(self, size: int) -> None:
-        """Allow so many more bytes of the answer."""
+        """Allow the peer to send more bytes of the answer."""
 
     def replace_receiver(self, receiver: "CallReceiver") -> None:
         """Send the outcome to another receiver."""
@@ -47,7 +47,7 @@
 
 
 class FleetListener(Protocol):
-    """Receiver of news that concern the whole fleet, from any peer."""
+    """Receiver of configurations and crash reports from any peer."""
 
     def on_configuration(self, version: int, content: bytes) -> None:
         """Handle a configuration that a peer sent."""
@@ -56,4 +56,4 @@
         """Handle a report of requests in flight at a backend server's crash."""
 
     def hello(self) -> Hello:
-        """Return this node's greeting."""
+        """Return this node's hello."""
--- a/azurestep/mesh/links/link.py
+++ b/azurestep/mesh/links/link.py
@@ -17,8 +17,7 @@
 UNRESPONSIVE_AFTER_MS = 200.0
 """Time without an answer to a probe after which a peer gets no new requests."""
 LOST_AFTER_MS = 650.0
-"""Time without an answer to a probe after which a peer counts as lost; long enough
-for one that is briefly slow."""
+"""Time without an answer to a probe after which a peer is treated as lost."""
 DIAL_TIMEOUT_S = 1.0
 REDIAL_PAUSES_MS = (50.0, 200.0, 500.0, 1000.0)
 """Pauses before attempts to reconnect; the last one repeats."""
@@ -71,7 +70,7 @@
 
     @property
     def fleet_listener(self) -> FleetListener:
-        """Receiver of news that concern the whole fleet."""
+        """Receiver of configurations and crash reports."""
         return self.listener
 
     def send(self, request: Request, receiver: CallReceiver) -> Stream | None:
@@ -108,7 +107,7 @@
                 connection.ping()
 
     def discount_pause(self, pause_ms: float) -> None:
-        """Don't count a pause of this node as silence of the peer."""
+        """Exclude a pause of this node from the peer's time to answer a probe."""
         if self.connection is not None:
             self.connection.last_received_ms += pause_ms
             self.connection.last_probe_ms += pause_ms
--- a/azurestep/mesh/links/members.py
+++ b/azurestep/mesh/links/members.py
@@ -32,7 +32,7 @@
     Attributes
     ----------
     make_hello : Callable
-        Returns this node's greeting.
+        Returns this node's hello.
     on_change : Callable
         Called when a peer was reached or lost, or sent a new state.
     apply_configuration : Callable
@@ -114,7 +114,7 @@
         self._count = 1 + sum(1 for _ in self.live_links())
 
     def discount_pause(self, pause_ms: float) -> None:
-        """Don't count a pause of this node as silence of the peers."""
+        """Exclude a pause of this node from the peers' time to answer probes."""
         for link in self.links.values():
             link.discount_pause(pause_ms)
 
@@ -124,7 +124,7 @@
             link.close()
 
     def hello(self) -> Hello:
-        """Return this node's greeting."""
+        """Return this node's hello."""
         return self.make_hello()
 
     def on_link_up(self, link: PeerLink, hello: Hello) -> None:
--- a/azurestep/mesh/links/server.py
+++ b/azurestep/mesh/links/server.py
@@ -37,13 +37,13 @@
 
 PONG = encode(Kind.PONG)
 LATE_AFTER_MS = 100.0
-"""Delay above the link's minimum from which on it is deducted from a request's time,
-so that the request isn't run for longer than its caller waits."""
+"""Excess over the link's minimum delay above which the excess is subtracted from a
+request's remaining time, so that no request runs for longer than its caller waits."""
 URGENT_FAILURE_RATIO = 0.3
-"""Failure ratio from which on a change is sent at once."""
+"""Failure ratio that is reported to peers at once when it is crossed."""
 MIN_DELAY_GROWTH = 0.01
-"""Share of a delay's excess by which the link's minimum delay grows, so that a shift
-between both clocks doesn't make all later requests look late."""
+"""Ratio of the excess that each message adds to the link's minimum delay, so that
+clock drift doesn't make all later requests look late."""
 
 
 @attrs.define(eq=False)
@@ -53,9 +53,9 @@
     Attributes
     ----------
     hello, state : Callable
-        Return this node's current greeting and state.
+        Return this node's current hello and state.
     on_peer : Callable
-        Called with the greeting of a peer that opened a link.
+        Called with the hello of a peer that opened a link.
     configuration : Callable
         Returns version and content of the configuration in force.
     store_version : Callable
@@ -156,7 +156,7 @@
         self._min_delay_ms: float | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet the peer and send it this node's state and crash reports."""
+        """Send a hello, this node's state and its crash reports."""
         self._transport = transport  # type: ignore[assignment]
         incoming_links = self.incoming_links
         incoming_links.links.add(self)
@@ -290,6 +290,7 @@
             run.body(body.data, body.whole)
 
     def _record_delay(self, sent_ms: float) -> float:
+        """Record a message's delay; return its excess over the link's minimum."""
         delay_ms = self.incoming_links.runtime.now_ms() - sent_ms
         min_delay_ms = self._min_delay_ms
         if min_delay_ms is None or delay_ms < min_delay_ms:
@@ -311,4 +312,4 @@
     Hello: IncomingLink._on_hello,
     ConfigurationQuery: IncomingLink._on_configuration_query,
 }
-"""Handlers by message type; faster than ``singledispatch`` on this hot path."""
+"""Handlers by message type."""
--- a/tests/test_mesh_decoding.py
+++ b/tests/test_mesh_decoding.py
@@ -240,7 +240,7 @@
     assert found == [(STREAM, Failure(Reason.RESET, 0))]
 
 
-def test_greeting_of_a_newer_version_may_have_more_fields() -> None:
+def test_hello_of_a_newer_version_may_have_more_fields() -> None:
     decoder = Decoder(PEER_CONNECTION_SCHEMAS)
     (found,) = decoder.feed(encode(Kind.HELLO, *fields_of(HELLO), "more"))
     assert found == (decoding.NO_STREAM, HELLO)
--- a/tests/test_mesh_doubt.py
+++ b/tests/test_mesh_doubt.py
@@ -17,7 +17,7 @@
 
 
 def unblock_sending(instance: MeshInstance) -> None:
-    """Let a silenced node send to its peers again."""
+    """Let a node send to its peers again."""
     for link in list(instance.node.incoming_links.links):
         vars(link).pop("write", None)
 
