--- a/azurestep/mesh/links/connection.py
+++ b/azurestep/mesh/links/connection.py
@@ -28,7 +28,7 @@
     fields_of,
 )
 from ..runtime import Runtime
-from .decoding import NO_STREAM, OF_CALLED_NODES, Decoder
+from .decoding import NO_STREAM, PEER_CONNECTION_SCHEMAS, Decoder
 from .interfaces import CallReceiver, FleetListener
 
 BUSY_PROBE_INTERVAL_MS = 90.0
@@ -43,10 +43,10 @@
 
     @property
     def fleet_listener(self) -> FleetListener:
-        """Receiver of news that concern the whole fleet."""
+        """Receiver of configurations and crash reports."""
 
     def on_hello(self, connection: "PeerConnection", hello: Hello) -> None:
-        """Handle the peer's greeting."""
+        """Handle the peer's hello."""
 
     def on_state(self, connection: "PeerConnection", state: State) -> None:
         """Handle the peer's state."""
@@ -64,7 +64,7 @@
     reroutable : bool
         Whether it may be retried when the peer is unresponsive, though it may have run.
     confirmed : bool
-        Whether the peer may have sent it to its backend server.
+        Whether the peer may run it: it needs no confirmation or was confirmed.
     """
 
     connection: "PeerConnection"
@@ -90,7 +90,7 @@
         return self.confirmed
 
     def withdraw(self) -> None:
-        """Cancel the request; the peer replies whether it may have run."""
+        """Cancel the request; the peer reports whether it may have run."""
         self.connection.send(Kind.WITHDRAW, self.stream_id)
 
     def add_credit(self, size: int) -> None:
@@ -110,13 +110,13 @@
         self.streams: dict[int, RemoteStream] = {}
         self.last_received_ms = link.runtime.now_ms()
         self.last_probe_ms = self.last_received_ms
-        self._decoder = Decoder(OF_CALLED_NODES)
+        self._decoder = Decoder(PEER_CONNECTION_SCHEMAS)
         self._transport: asyncio.Transport | None = None
         self._last_stream_id = 0
         self._retired = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet the peer and probe it."""
+        """Send a hello and a probe."""
         self._transport = transport  # type: ignore[assignment]
         self.link.connection = self
         self.send(Kind.HELLO, *fields_of(self.link.fleet_listener.hello()))
@@ -139,13 +139,13 @@
             try:
                 HANDLERS[type(message)](self, stream, message)
             except Exception as error:
-                self._contain(stream, error)
+                self._handle_fault(stream, error)
         self.close_if_done()
         if self._decoder.fault:
             events.log(events.PEER_MALFORMED, cause=self._decoder.fault)
             self.abort()
 
-    def _contain(self, stream: RemoteStream | None, error: Exception) -> None:
+    def _handle_fault(self, stream: RemoteStream | None, error: Exception) -> None:
         """Cancel the request whose handling failed; the others continue."""
         runtime = self.link.runtime
         request_id = b"" if stream is None else stream.request_id
@@ -196,7 +196,7 @@
         try:
             notify(event)
         except Exception as error:
-            self._contain(stream, error)
+            self._handle_fault(stream, error)
 
     def send(self, kind: Kind, *fields: object) -> None:
         """Send a message."""
@@ -301,4 +301,4 @@
     SlotReady: PeerConnection._on_slot_ready,
     Credit: PeerConnection._on_credit,
 }
-"""Handlers by message type; faster than ``singledispatch`` on this hot path."""
+"""Handlers by message type."""
--- a/azurestep/mesh/links/server.py
+++ b/azurestep/mesh/links/server.py
@@ -32,18 +32,18 @@
     fields_of,
 )
 from ..runtime import Runtime
-from .decoding import NO_STREAM, OF_CALLING_NODES, Decoder, Message
+from .decoding import INCOMING_LINK_SCHEMAS, NO_STREAM, Decoder, Message
 from .remote_receiver import OutcomeForwarder
 
 PONG = encode(Kind.PONG)
 LATE_AFTER_MS = 100.0
-"""Delay above the link's minimum from which on it is deducted from a request's time,
-so that the request isn't run for longer than its caller waits."""
+"""Excess over the link's minimum delay above which the excess is subtracted from a
+request's remaining time, so that no request runs for longer than its caller waits."""
 URGENT_FAILURE_RATIO = 0.3
-"""Failure ratio from which on a change is sent at once."""
+"""Failure ratio that is reported to peers at once when it is crossed."""
 MIN_DELAY_GROWTH = 0.01
-"""Share of a delay's excess by which the link's minimum delay grows, so that a shift
-between both clocks doesn't make all later requests look late."""
+"""Ratio of the excess that each message adds to the link's minimum delay, so that
+clock drift doesn't make all later requests look late."""
 
 
 @attrs.define(eq=False)
@@ -53,9 +53,9 @@
     Attributes
     ----------
     hello, state : Callable
-        Return this node's current greeting and state.
+        Return this node's current hello and state.
     on_peer : Callable
-        Called with the greeting of a peer that opened a link.
+        Called with the hello of a peer that opened a link.
     configuration : Callable
         Returns version and content of the configuration in force.
     store_version : Callable
@@ -149,14 +149,14 @@
     def __init__(self, incoming_links: IncomingLinks) -> None:
         self.incoming_links = incoming_links
         self.peer: Hello | None = None
-        self._decoder = Decoder(OF_CALLING_NODES)
+        self._decoder = Decoder(INCOMING_LINK_SCHEMAS)
         self._transport: asyncio.Transport | None = None
         self._has_written_outcome = False
         self._runs: dict[int, Run] = {}
         self._min_delay_ms: float | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet the peer and send it this node's state and crash reports."""
+        """Send a hello, this node's state and its crash reports."""
         self._transport = transport  # type: ignore[assignment]
         incoming_links = self.incoming_links
         incoming_links.links.add(self)
@@ -186,12 +186,12 @@
             try:
                 HANDLERS[type(message)](self, stream_id, message)
             except Exception as error:
-                self._contain(stream_id, message, error)
+                self._handle_fault(stream_id, message, error)
         if self._decoder.fault:
             events.log(events.PEER_MALFORMED, cause=self._decoder.fault)
             self.abort()
 
-    def _contain(self, stream_id: int, message: Message, error: Exception) -> None:
+    def _handle_fault(self, stream_id: int, message: Message, error: Exception) -> None:
         """Fail the request whose handling failed; the others continue.
 
         The run is cancelled rather than failed, so that the internal error doesn't
@@ -240,7 +240,7 @@
             self._transport.abort()
 
     def _on_request(self, stream_id: int, request: Request) -> None:
-        late_ms = self._update_delay_ms(request.sent_ms)
+        late_ms = self._record_delay(request.sent_ms)
         if late_ms > LATE_AFTER_MS:
             request = attrs.evolve(
                 request,
@@ -253,7 +253,7 @@
             self._runs[stream_id] = run
 
     def _on_ping(self, _: int, ping: Ping) -> None:
-        self._update_delay_ms(ping.sent_ms)
+        self._record_delay(ping.sent_ms)
         self.write(PONG)
 
     def _on_hello(self, _: int, hello: Hello) -> None:
@@ -289,7 +289,8 @@
         if run is not None:
             run.add_body(body.data, body.whole)
 
-    def _update_delay_ms(self, sent_ms: float) -> float:
+    def _record_delay(self, sent_ms: float) -> float:
+        """Record a message's delay; return its excess over the link's minimum."""
         delay_ms = self.incoming_links.runtime.now_ms() - sent_ms
         min_delay_ms = self._min_delay_ms
         if min_delay_ms is None or delay_ms < min_delay_ms:
@@ -311,4 +312,4 @@
     Hello: IncomingLink._on_hello,
     ConfigurationQuery: IncomingLink._on_configuration_query,
 }
-"""Handlers by message type; faster than ``singledispatch`` on this hot path."""
+"""Handlers by message type."""
--- a/tests/test_mesh_stopping.py
+++ b/tests/test_mesh_stopping.py
@@ -23,9 +23,9 @@
     caller_headers,
     document,
 )
-from .test_mesh_doubt import reopen
+from .test_mesh_doubt import start_another_server
 from .test_mesh_faults import eventually
-from .test_mesh_refusals import only
+from .test_mesh_refusals import drain_all_but
 
 LONG_MS = 9000
 """Longer than a shutdown."""
@@ -78,7 +78,7 @@
     long_route_mesh: MeshFleet, asked: int
 ) -> None:
     serving, stopping = long_route_mesh.instances[0], long_route_mesh.instances[asked]
-    await only(long_route_mesh, serving)
+    await drain_all_but(long_route_mesh, serving)
     serving.server.work_s = 8.5
     names = [f"w{index}" for index in range(8)]
     calls = [
@@ -96,7 +96,7 @@
     long_route_mesh: MeshFleet,
 ) -> None:
     serving, stopping = long_route_mesh.instances[:2]
-    await only(long_route_mesh, serving)
+    await drain_all_but(long_route_mesh, serving)
     serving.server.work_s = 5.0
     calls = [
         asyncio.create_task(read(long_route_mesh, stopping, f"r{i}")) for i in range(3)
@@ -110,7 +110,7 @@
     long_route_mesh: MeshFleet,
 ) -> None:
     serving, stopping = long_route_mesh.instances[:2]
-    await only(long_route_mesh, serving)
+    await drain_all_but(long_route_mesh, serving)
     serving.server.work_s = 8.5
     names = [f"w{index}" for index in range(4)]
     calls = [
@@ -126,7 +126,7 @@
     long_route_mesh: MeshFleet,
 ) -> None:
     serving, stopping = long_route_mesh.instances[:2]
-    await only(long_route_mesh, serving)
+    await drain_all_but(long_route_mesh, serving)
     stopping.node.stop()
     assert await read(long_route_mesh, stopping, "late-1") == 200
     left_ms = float(serving.server.received[-1].headers["deadline-milliseconds"])
@@ -193,7 +193,7 @@
     long_route_mesh: MeshFleet,
 ) -> None:
     serving, asking = long_route_mesh.instances[:2]
-    await only(long_route_mesh, serving)
+    await drain_all_but(long_route_mesh, serving)
     body = b"x" * 240_000
     serving.server.answer_override = lambda received: signed(received, body)
     link = asking.node.members.links[serving.node.settings.peer_address]
@@ -223,13 +223,13 @@
     long_route_mesh: MeshFleet,
 ) -> None:
     stopping, other, asking = long_route_mesh.instances
-    await only(long_route_mesh, stopping)
+    await drain_all_but(long_route_mesh, stopping)
     set_mean_run_ms(stopping, 4500)
     stopping.server.work_s = 4.5
     names = [f"q{index}" for index in range(8)]
     calls = [asyncio.create_task(read(long_route_mesh, asking, name)) for name in names]
     await eventually(lambda: stopping.node.inbound.admission.in_flight == len(names))
-    await reopen(long_route_mesh, other)
+    await start_another_server(long_route_mesh, other)
     stopping.node.stop()
     done, _ = await asyncio.wait(calls, timeout=1.0)
     assert [call.result() for call in done] == [200] * 4
--- a/tests/test_mesh_stopping_uploads.py
+++ b/tests/test_mesh_stopping_uploads.py
@@ -11,8 +11,8 @@
 from azurestep.platform.topics import CONFIGURATION_KEY, OPERATOR_TOPIC
 
 from .fixtures_mesh import MeshFleet, MeshInstance, caller_headers, document
-from .test_mesh_faults import eventually, suspend_links
-from .test_mesh_refusals import only
+from .test_mesh_faults import block_sending, eventually
+from .test_mesh_refusals import drain_all_but
 from .test_mesh_stopping import LONG_MS, NO_ANSWER, stop
 
 BODY = b"u" * 60_000
@@ -74,7 +74,7 @@
         lambda: all(item.node.configuration.version == 8 for item in mesh.instances)
     )
     serving, asked = mesh.instances[:2]
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 8.5
     return UploadScenario(mesh, serving, asked)
 
@@ -101,7 +101,7 @@
 
 async def suspend_link(scenario: UploadScenario) -> None:
     await asyncio.sleep(0.9)
-    suspend_links(scenario.serving)
+    block_sending(scenario.serving)
 
 
 async def stop_both(scenario: UploadScenario) -> None:
