--- a/azurestep/control/beliefs.py
+++ b/azurestep/control/beliefs.py
@@ -17,7 +17,7 @@
 INACTIVE_RETENTION_MS = 120_000
 SUSPECT_PROBE_INTERVAL_MS = 400
 MAX_SUSPECT_PROBES = 8
-NO_SEQUENCE = 0
+NO_SEQUENCE = 0  # for a probe whose ack is not tracked
 
 
 class Channel(Enum):
@@ -131,7 +131,7 @@
         return outputs
 
     def _sync_unknown_bridges(self, update: Update) -> list[Output]:
-        """Start a sync with a local bridge that is not known as a member."""
+        """Start a sync with an unknown local bridge or a new data centre."""
         if not isinstance(update, DataCentreReport):
             return []
         if update.data_centre != self._roster.own.data_centre:
--- a/azurestep/control/comparison.py
+++ b/azurestep/control/comparison.py
@@ -1,4 +1,4 @@
-"""Anti-entropy sync: two nodes exchange the updates that one holds newer."""
+"""Anti-entropy sync: two nodes send each other their newer updates."""
 
 from .messages import ItemStamp, SyncReply, SyncRequest
 from .table import UpdateTable, key_hash, key_of, stamp_of
--- a/azurestep/control/detector.py
+++ b/azurestep/control/detector.py
@@ -1,6 +1,6 @@
 """Failure detector: probes, indirect probes, suspicion.
 
-An unanswered probe is repeated on a new connection and through helpers before
+An unanswered probe is retried on a new connection and through helpers before
 the member is suspected, since only the connection may have failed.
 """
 
@@ -26,7 +26,7 @@
     sent_ms : float
         Monotonic time of the first attempt.
     repeats : int
-        How often the probe was repeated on a new connection.
+        Number of retries so far, each on a new connection.
     is_relay_confirmed : bool
         Whether a helper received an ack from the member.
     """
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class ProbeRetry:
-    """A probe to repeat on a new connection and through helpers."""
+    """A probe to retry on a new connection and through helpers."""
 
     sequence: int
     probe: PendingProbe
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class ProbeFailure:
-    """A probe that got no ack, nor did its repetitions."""
+    """A probe that got no ack, also after its retries."""
 
     probe: PendingProbe
 
@@ -92,14 +92,14 @@
     def record_relayed_ack(self, sequence: int) -> None:
         """Record that a helper received an ack from the member.
 
-        The probe is still repeated, since that replaces the direct connection.
+        The probe is still retried, since that replaces the direct connection.
         """
         probe = self._pending.get(sequence)
         if probe is not None:
             probe.is_relay_confirmed = True
 
     def expire(self, now_ms: float) -> list[ProbeRetry | ProbeFailure]:
-        """Return the probes to repeat and those that failed."""
+        """Return the probes to retry and those that failed."""
         timeout_ms = self._settings.probe_timeout_ms
         results: list[ProbeRetry | ProbeFailure] = []
         for sequence, probe in list(self._pending.items()):
--- a/azurestep/control/membership.py
+++ b/azurestep/control/membership.py
@@ -110,7 +110,8 @@
         only_global = sender.data_centre != self._own.data_centre
         if message.table_hash == self.table.hash(only_global):
             return outputs
-        # One message can send a short queue; a long one is slower than a sync.
+        # Gossip sends a queue that fits into one message; for a longer one a sync
+        # is faster.
         if 0 < len(self.queue) <= UPDATES_PER_MESSAGE or now_ms < self._next_sync_ms:
             return outputs
         self._next_sync_ms = now_ms + SYNC_INTERVAL_MS
--- a/azurestep/control/probing.py
+++ b/azurestep/control/probing.py
@@ -47,7 +47,7 @@
         self._bridge_turn = 0
 
     def expire(self, now_ms: float) -> list[Output]:
-        """Repeat unanswered probes; suspect members whose probes all failed."""
+        """Retry unanswered probes; suspect members whose retries failed."""
         outputs: list[Output] = []
         for result in self._detector.expire(now_ms):
             if isinstance(result, ProbeRetry):
@@ -107,7 +107,7 @@
         return outputs
 
     def record_probe(self, probe: Probe, sender: Sender) -> list[Output]:
-        """Replace the link to a peer that repeats a probe.
+        """Replace the link to a peer that retries a probe.
 
         The peer did not get the first ack, so this link may lose messages; the
         peer can replace only the link in the other direction.
--- a/azurestep/control/relay.py
+++ b/azurestep/control/relay.py
@@ -57,8 +57,8 @@
     ) -> list[Output]:
         """Apply records that this node read from the log.
 
-        The first reader batches lease extensions, which are written well before a
-        lease expires; changes of ownership are pushed immediately.
+        The first reader batches checkpoints and extensions of ownership intervals,
+        which are not urgent; changes of ownership are pushed immediately.
         """
         if page.next_offset < page.from_offset:
             return self._regress(self._membership.own.instance)
--- a/azurestep/control/ring.py
+++ b/azurestep/control/ring.py
@@ -63,7 +63,7 @@
 
 
 def children(order: Sequence[str], root: str, own: str, fan_out: int) -> list[str]:
-    """Return the children of an instance in the tree that starts at ``root``.
+    """Return the children of an instance in the broadcast tree of ``root``.
 
     Parameters
     ----------
--- a/azurestep/control/roster.py
+++ b/azurestep/control/roster.py
@@ -46,7 +46,7 @@
     digest : Digest
         Digest of the configuration, sent with each probe and ack.
     epoch : int
-        Grows each time ring order and bridges are derived again.
+        Incremented when ring order and bridges are derived again.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         return self._bridges
 
     def is_bridge(self) -> bool:
-        """Whether this node exchanges summaries with remote data centres."""
+        """Whether this node exchanges global updates with remote data centres."""
         return self._own.instance in self.bridges()
 
     def remote_reports(self) -> list[DataCentreReport]:
--- a/azurestep/control/seeds.py
+++ b/azurestep/control/seeds.py
@@ -14,7 +14,7 @@
 
 
 class Seeds:
-    """Seeds, and addresses of dead members, which a partition may only hide.
+    """Seeds and addresses of dead members, which may be alive behind a partition.
 
     Parameters
     ----------
@@ -63,7 +63,7 @@
         return self._roster.is_bridge() and not self._roster.remote_reports()
 
     def add_dead(self, address: Address) -> None:
-        """Add the address of a dead member, which a partition may only hide."""
+        """Add the address of a dead member, which may be alive behind a partition."""
         if address in self._seeds:
             return
         self._dead.append(address)
--- a/azurestep/control/table.py
+++ b/azurestep/control/table.py
@@ -83,7 +83,7 @@
 
 
 def key_hash(key: str) -> int:
-    """Return a 32-bit hash of a key, as used in digests."""
+    """Return a 32-bit hash of a key, as used in sync messages."""
     return xxhash.xxh3_64_intdigest(key.encode()) >> 32
 
 
@@ -100,8 +100,8 @@
 class UpdateTable:
     """Updates by key, with incremental hashes of the local and global ones.
 
-    Suspect requests are kept separately in bounded number. They are neither hashed
-    nor synchronised by table comparison, which would renew their refusal forever.
+    Suspect requests are kept separately in bounded number. They are excluded from
+    hashes and syncs, since each sync would restart the time of their refusal.
     """
 
     def __init__(self) -> None:
--- a/azurestep/once/settings.py
+++ b/azurestep/once/settings.py
@@ -16,11 +16,13 @@
         Slots of the key space, a power of two up to 256. The first claim on the
         log fixes it for the lifetime of the fleet.
     ownership_interval_ms : int
-        Length of an ownership interval; at most ``MAX_INTERVAL_MS``. Requests
-        keep running during a platform outage of up to half an interval. New keys
-        of a crashed owner's slots are not accepted for up to one interval.
+        Length of an ownership interval; at most ``MAX_INTERVAL_MS``.
+        Non-idempotent requests keep running through a platform outage of at least
+        half an interval. A key whose owner crashed is answered "may have run" for
+        at most one interval.
     extend_jitter_ratio : float
-        Maximum jitter of an extension as a ratio of half an interval.
+        Maximum time by which an extension is sent early, as a ratio of half an
+        interval.
     backdate_ms : int
         How far before now a new interval may start, for callers whose clock is
         behind.
