--- a/azurestep/control/beliefs.py
+++ b/azurestep/control/beliefs.py
@@ -127,10 +127,10 @@
             elif self._roster.table.merge(update):
                 self._queue_update(update, channel)
                 outputs.append(UpdateAccepted(update))
-                outputs.extend(self._sync_unknown_bridges(update))
+                outputs.extend(self._sync_new_contacts(update))
         return outputs
 
-    def _sync_unknown_bridges(self, update: Update) -> list[Output]:
+    def _sync_new_contacts(self, update: Update) -> list[Output]:
         """Start a sync with an unknown local bridge or a new data centre."""
         if not isinstance(update, DataCentreReport):
             return []
@@ -181,8 +181,8 @@
         if update.status != MemberStatus.DEAD or held.status not in LIVE:
             return False
         since_ms = self._suspected_since_ms.get(held.instance, now_ms)
-        was_given_time = now_ms - since_ms >= self._settings.suspicion_ms / 2
-        return update.incarnation == held.incarnation and not was_given_time
+        had_time_to_refute = now_ms - since_ms >= self._settings.suspicion_ms / 2
+        return update.incarnation == held.incarnation and not had_time_to_refute
 
     def _refute(self, update: MemberState) -> list[Output]:
         own = self._roster.own
--- a/azurestep/control/detector.py
+++ b/azurestep/control/detector.py
@@ -25,7 +25,7 @@
         Address that was probed.
     sent_ms : float
         Monotonic time of the first attempt.
-    repeats : int
+    retries : int
         Number of retries so far, each on a new connection.
     is_relay_confirmed : bool
         Whether a helper received an ack from the member.
@@ -34,7 +34,7 @@
     instance: str
     to: Address
     sent_ms: float
-    repeats: int = 0
+    retries: int = 0
     is_relay_confirmed: bool = False
 
 
@@ -108,7 +108,7 @@
                 del self._pending[sequence]
                 if not probe.is_relay_confirmed:
                     results.append(ProbeFailure(probe))
-            elif waited_ms >= (probe.repeats + 1) * timeout_ms:
-                probe.repeats += 1
+            elif waited_ms >= (probe.retries + 1) * timeout_ms:
+                probe.retries += 1
                 results.append(ProbeRetry(sequence, probe))
         return results
--- a/azurestep/control/membership.py
+++ b/azurestep/control/membership.py
@@ -146,11 +146,11 @@
     def _(self, message: SyncReply, sender: Sender, now_ms: float) -> list[Output]:
         if sender.data_centre != self._own.data_centre:
             self._seeds.mark_remote(sender.address)
-        was_alone = len(self._order) <= 1
+        was_isolated = len(self._order) <= 1
         is_bulk = len(message.updates) > MAX_GOSSIPED_SYNC_UPDATES
         channel = Channel.SYNC if is_bulk else Channel.PROBE
         outputs = self._suspicions.merge(message.updates, now_ms, channel)
-        if was_alone and len(self._order) > 1:
+        if was_isolated and len(self._order) > 1:
             outputs.extend(self.broadcast([self._own]))
         found = [self.table.by_hash(hashed) for hashed in message.wanted]
         wanted = [update for update in found if update is not None]
--- a/azurestep/control/probing.py
+++ b/azurestep/control/probing.py
@@ -51,7 +51,7 @@
         outputs: list[Output] = []
         for result in self._detector.expire(now_ms):
             if isinstance(result, ProbeRetry):
-                outputs.extend(self._repeat(result))
+                outputs.extend(self._retry(result))
             elif isinstance(result, ProbeFailure) and result.probe.instance:
                 failed = result.probe.instance
                 outputs.extend(self._suspicions.suspect(failed, now_ms))
@@ -91,19 +91,19 @@
             sequence, self._roster.digest, self._roster.table.hash(only_global), updates
         )
 
-    def _repeat(self, repeat: ProbeRetry) -> list[Output]:
-        to = repeat.probe.to
-        probe = Probe(repeat.sequence, self._roster.digest, 0)
+    def _retry(self, retry: ProbeRetry) -> list[Output]:
+        to = retry.probe.to
+        probe = Probe(retry.sequence, self._roster.digest, 0)
         outputs: list[Output] = [ReplaceLink(to), Send(to, probe)]
         others = [
             member.address
             for member in self._roster.members()
             if member.address not in (to, self._roster.own.address)
         ]
-        if not repeat.probe.instance:
+        if not retry.probe.instance:
             return outputs
         for helper in self._random.sample(others, min(HELPERS_PER_PROBE, len(others))):
-            outputs.append(Send(helper, ProbeRequest(repeat.sequence, to)))
+            outputs.append(Send(helper, ProbeRequest(retry.sequence, to)))
         return outputs
 
     def record_probe(self, probe: Probe, sender: Sender) -> list[Output]:
--- a/azurestep/control/seeds.py
+++ b/azurestep/control/seeds.py
@@ -48,13 +48,13 @@
         self._next_seed_ms = now_ms + SEED_INTERVAL_MS * self._random.uniform(1, 2)
         known = {member.address for member in self._roster.members()}
         seeds = [*self._seeds, *self._dead]
-        is_alone = len(self._roster.order) <= 1 or self._lacks_remote_bridges()
-        if not is_alone:
+        is_isolated = len(self._roster.order) <= 1 or self._lacks_remote_bridges()
+        if not is_isolated:
             known |= self._remote
         unknown = [seed for seed in seeds if seed not in known]
-        if not unknown or (not is_alone and self._random.random() > 0.1):
+        if not unknown or (not is_isolated and self._random.random() > 0.1):
             return []
-        count = min(SEEDS_PER_ROUND, len(unknown)) if is_alone else 1
+        count = min(SEEDS_PER_ROUND, len(unknown)) if is_isolated else 1
         chosen = self._random.sample(unknown, count)
         return [Send(to, sync_request(self._roster.table)) for to in chosen]
 
--- a/tests/test_control_membership.py
+++ b/tests/test_control_membership.py
@@ -12,7 +12,7 @@
     return network
 
 
-def halves(one, other):
+def is_across_halves(one, other):
     middle = FIRST_PORT + COUNT // 2
     return (one.port < middle) != (other.port < middle)
 
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_healed_partition_converges_without_new_deaths(seed):
     network = joined(seed=seed)
-    network.is_cut = halves
+    network.is_cut = is_across_halves
     network.run(20_000)
     assert len(deaths(network)) >= COUNT * COUNT // 2
     network.is_cut = lambda one, other: False
--- a/tests/test_control_seeds.py
+++ b/tests/test_control_seeds.py
@@ -23,8 +23,8 @@
 
 @pytest.fixture
 def seeds() -> Seeds:
-    pace = ControlSettings(bridges_per_data_centre=1)
-    node = Membership(member(0), [], pace, random.Random(4))
+    settings = ControlSettings(bridges_per_data_centre=1)
+    node = Membership(member(0), [], settings, random.Random(4))
     others = [member(number) for number in range(1, 12)]
     node.handle(SyncReply(others), LOCAL_SENDER, 0.0)
     assert not node.is_bridge()
--- a/tests/test_control_silent.py
+++ b/tests/test_control_silent.py
@@ -8,7 +8,7 @@
 COUNT = 24
 VICTIM_PORT = FIRST_PORT + 5
 
-SILENCES = {
+LINK_FILTERS = {
     "all": lambda link: True,
     "one direction": lambda link: link.source.port > link.to.port,
     "into one node": lambda link: link.to.port == VICTIM_PORT,
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("chosen", SILENCES.values(), ids=SILENCES.keys())
+@pytest.mark.parametrize("chosen", LINK_FILTERS.values(), ids=LINK_FILTERS.keys())
 def test_silent_links_are_replaced_without_suspicions(chosen, seed):
     network = FakeNetwork(COUNT, seed=seed)
     network.run_until(network.is_whole, 60_000)
--- a/tests/test_spread_two_readers.py
+++ b/tests/test_spread_two_readers.py
@@ -52,12 +52,12 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-@pytest.mark.parametrize("believe_to_be_first", [1, 2])
-def test_two_concurrent_readers_reach_every_node(nodes, seed, believe_to_be_first):
+@pytest.mark.parametrize("first_reader_count", [1, 2])
+def test_two_concurrent_readers_reach_every_node(nodes, seed, first_reader_count):
     source = random.Random(seed)
     queue = []
     for rank, reader in enumerate(source.sample(range(NODES), 2)):
-        is_first = rank < believe_to_be_first
+        is_first = rank < first_reader_count
         sends = nodes[reader].apply_page(_page(), 0.0, is_first_reader=is_first)
         queue.extend((reader, s) for s in sends if isinstance(s, Send))
     pushes = 0
