--- a/azurestep/control/beliefs.py
+++ b/azurestep/control/beliefs.py
@@ -17,7 +17,7 @@
 INACTIVE_RETENTION_MS = 120_000
 SUSPECT_PROBE_INTERVAL_MS = 400
 MAX_SUSPECT_PROBES = 8
-NO_SEQUENCE = 0
+NO_SEQUENCE = 0  # for a probe whose ack is not tracked
 
 
 class Channel(Enum):
@@ -127,11 +127,11 @@
             elif self._roster.table.merge(update):
                 self._queue_update(update, channel)
                 outputs.append(UpdateAccepted(update))
-                outputs.extend(self._sync_unknown_bridges(update))
+                outputs.extend(self._sync_new_contacts(update))
         return outputs
 
-    def _sync_unknown_bridges(self, update: Update) -> list[Output]:
-        """Start a sync with a local bridge that is not known as a member."""
+    def _sync_new_contacts(self, update: Update) -> list[Output]:
+        """Start a sync with an unknown local bridge or a new data centre."""
         if not isinstance(update, DataCentreReport):
             return []
         if update.data_centre != self._roster.own.data_centre:
@@ -181,8 +181,8 @@
         if update.status != MemberStatus.DEAD or held.status not in LIVE:
             return False
         since_ms = self._suspected_since_ms.get(held.instance, now_ms)
-        was_given_time = now_ms - since_ms >= self._settings.suspicion_ms / 2
-        return update.incarnation == held.incarnation and not was_given_time
+        had_time_to_refute = now_ms - since_ms >= self._settings.suspicion_ms / 2
+        return update.incarnation == held.incarnation and not had_time_to_refute
 
     def _refute(self, update: MemberState) -> list[Output]:
         own = self._roster.own
--- a/azurestep/control/membership.py
+++ b/azurestep/control/membership.py
@@ -110,7 +110,8 @@
         only_global = sender.data_centre != self._own.data_centre
         if message.table_hash == self.table.hash(only_global):
             return outputs
-        # One message can send a short queue; a long one is slower than a sync.
+        # Gossip sends a queue that fits into one message; for a longer one a sync
+        # is faster.
         if 0 < len(self.queue) <= UPDATES_PER_MESSAGE or now_ms < self._next_sync_ms:
             return outputs
         self._next_sync_ms = now_ms + SYNC_INTERVAL_MS
@@ -145,11 +146,11 @@
     def _(self, message: SyncReply, sender: Sender, now_ms: float) -> list[Output]:
         if sender.data_centre != self._own.data_centre:
             self._seeds.mark_remote(sender.address)
-        was_alone = len(self._order) <= 1
+        was_isolated = len(self._order) <= 1
         is_bulk = len(message.updates) > MAX_GOSSIPED_SYNC_UPDATES
         channel = Channel.SYNC if is_bulk else Channel.PROBE
         outputs = self._suspicions.merge(message.updates, now_ms, channel)
-        if was_alone and len(self._order) > 1:
+        if was_isolated and len(self._order) > 1:
             outputs.extend(self.broadcast([self._own]))
         found = [self.table.by_hash(hashed) for hashed in message.wanted]
         wanted = [update for update in found if update is not None]
