--- a/azurestep/mesh/backend/answer_parts.py
+++ b/azurestep/mesh/backend/answer_parts.py
@@ -18,7 +18,7 @@
     fields : AnswerFields or None
         Parsed headers; None before the head arrived.
     length_bytes : int
-        Length of the body by its head; -1 if the head names none.
+        Length of the body according to its head; -1 if the head gives none.
     size_bytes : int
         Bytes of the body so far, forwarded or not.
     """
--- a/azurestep/mesh/backend/inbound.py
+++ b/azurestep/mesh/backend/inbound.py
@@ -26,7 +26,7 @@
 from .transfers import BodyTransfer, BodyTransfers
 
 CONNECT_TIMEOUT_S = 1.0
-"""Time after which a backend server that doesn't accept is unreachable."""
+"""Time after which a connection attempt counts as failed."""
 MAX_IDLE_MS = 8000.0
 """Idle time after which a connection is closed, before the backend server does it."""
 IDLE_CLOSE_WINDOW_MS = 30.0
@@ -154,9 +154,9 @@
         self._schedule_scan()
 
     def _schedule_scan(self) -> None:
-        """Have the event loop scan the queue.
+        """Schedule a scan of the queue on the event loop.
 
-        A scan within the end of a request would recurse through a long queue, and would
+        A scan while a request is being ended would recurse through a long queue and
         start requests that are about to be cancelled together.
         """
         if not self._scan_scheduled:
@@ -240,9 +240,9 @@
     ) -> None:
         """Record that a connection ended during a request, before any answer.
 
-        A backend server that crashes ends all its connections. After the last one a
-        connection attempt shows whether it still runs; if so, no request is recorded as
-        the cause of a crash.
+        A backend server that crashes ends all its connections. Once the last one
+        ended, a connection attempt shows whether it still runs; if so, no request is
+        recorded as the cause of a crash.
         """
         self._next_reconnect_ms = 0.0
         self.crashes.record_connection_loss(request, self.now_ms())
--- a/azurestep/mesh/backend/probing.py
+++ b/azurestep/mesh/backend/probing.py
@@ -18,9 +18,9 @@
 
 PROBE_TIMEOUT_S = 1.0
 SEARCH_TIMEOUT_MS = 3000.0
-"""Time after the start in which a restarted node searches for its backend server.
+"""Time after its start in which a restarted node probes for its backend server.
 
-Covers two heartbeats; a server without one by then has ended.
+Long enough for two heartbeats; a server that sent none by then has ended.
 """
 DEFAULT_SLOTS = 4
 """Slots of a backend server found by a probe, until its first heartbeat."""
@@ -85,7 +85,7 @@
     Attributes
     ----------
     service : str
-        Service of the backend server by the settings.
+        Service of the backend server according to the settings.
     restarted : bool
         Whether the backend server may have been running before this process.
     """
--- a/azurestep/mesh/backend/run.py
+++ b/azurestep/mesh/backend/run.py
@@ -180,8 +180,9 @@
     def _is_too_late(self) -> bool:
         """Whether a request that could end in time can't any more.
 
-        A request that never could runs anyway, unless the node is shutting down:
-        without new samples an overestimated mean run time would never fall.
+        A request that couldn't at the first check runs anyway, unless the node is
+        shutting down: without new samples an overestimated mean run time would never
+        fall.
         """
         inbound = self.inbound
         in_time = inbound.admission.can_end_in_time(self.ticket, inbound.now_ms())
--- a/azurestep/mesh/backend/state.py
+++ b/azurestep/mesh/backend/state.py
@@ -11,7 +11,7 @@
 from ..messages import Reason, Request
 
 DRAIN_ADMIT_RATIO = 0.5
-"""Part of the drain time in which requests in transit are still admitted."""
+"""Fraction of the drain time in which requests in transit are still admitted."""
 LEAVING_SINCE_UNKNOWN_MS = float("-inf")
 """Leaving time assumed for an incarnation that was leaving when first seen.
 
@@ -149,7 +149,7 @@
         return True
 
     def confirm_instance(self, instance_id: str, now_ms: float) -> None:
-        """Make the incarnation that answered the current one.
+        """Set the current incarnation to the one that sent an answer.
 
         Requests are refused until its heartbeat has arrived.
         """
--- a/azurestep/mesh/backend/transfers.py
+++ b/azurestep/mesh/backend/transfers.py
@@ -51,7 +51,7 @@
             self._waiting.remove(transfer)
 
     def start_next(self) -> BodyTransfer | None:
-        """Begin the transfer that waited longest, if one may, and return it."""
+        """Begin the longest waiting transfer, if the limit allows, and return it."""
         if not self._waiting or len(self._active) >= MAX_CONCURRENT_TRANSFERS:
             return None
         transfer = self._waiting.popleft()
--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -20,9 +20,9 @@
 from .record import FIRST_NON_SUCCESS_STATUS, CallRecord
 
 MAX_NODES_TRIED = 4
-"""Limit of the nodes that one request is sent to."""
+"""Maximum number of nodes that one request is sent to."""
 WITHDRAWAL_TIMEOUT_MS = 50.0
-"""Time past the deadline in which a peer must report whether the request has run."""
+"""Time after the deadline for a peer to report whether the request has run."""
 SERVER_ERROR = 500
 
 
@@ -326,7 +326,8 @@
     def _keep_fallback_answer(self, answer: Answer) -> None:
         """Keep a complete error answer for the case that all retries fail.
 
-        A streamed one is cancelled, so that its rest can't mix with the next answer.
+        A streamed one is cancelled, so that its remainder can't mix with the next
+        answer.
         """
         if answer.whole:
             self._fallback_answer = self._fallback_answer or answer
--- a/azurestep/mesh/callers/context.py
+++ b/azurestep/mesh/callers/context.py
@@ -83,7 +83,7 @@
 
 @attrs.frozen(slots=True)
 class Target:
-    """Route and service of a request, by the configuration with the given version."""
+    """Route and service of a request in the configuration of the given version."""
 
     route: Route
     service: str
--- a/azurestep/mesh/callers/former_run.py
+++ b/azurestep/mesh/callers/former_run.py
@@ -20,7 +20,7 @@
         """Handle the answer, or its head and first bytes."""
 
     def on_earlier_lost(self, run: "EarlierRun", may_have_run: bool) -> None:
-        """Handle that the run ended without an answer."""
+        """Handle the end of the run without an answer."""
 
 
 @attrs.define(eq=False)
--- a/azurestep/mesh/callers/outbound.py
+++ b/azurestep/mesh/callers/outbound.py
@@ -1,4 +1,4 @@
-"""Entry of callers' requests: route matching and load shedding."""
+"""Entry point of callers' requests: route matching and load shedding."""
 
 from collections.abc import Callable
 
@@ -84,7 +84,7 @@
 
 @attrs.define(eq=False)
 class Rejection:
-    """Answers a request that is sent to no backend server, once it was read.
+    """Answers a request that goes to no backend server, after it was read completely.
 
     Attributes
     ----------
--- a/azurestep/mesh/decisions/admission.py
+++ b/azurestep/mesh/decisions/admission.py
@@ -27,7 +27,7 @@
     deadline_ms : float
         When the caller gives up.
     owner : object
-        Data of the code that submits the request; not used here.
+        Data attached by the code that submits the request; not used here.
     """
 
     route: str
@@ -145,8 +145,9 @@
     def find_expiring(self, now_ms: float) -> list[Ticket]:
         """Return the waiting requests that can't end in time.
 
-        During a shutdown the work ahead of a request counts too, so that another node
-        can serve it at once. The work of requests in the result doesn't count.
+        During a shutdown, the time to run the requests ahead counts too, so that a
+        request that would wait too long is refused early and another node can serve it.
+        Requests already in the result don't count as ahead.
         """
         if self.drain_deadline_ms == math.inf:
             return [
--- a/azurestep/mesh/decisions/cadence.py
+++ b/azurestep/mesh/decisions/cadence.py
@@ -1,4 +1,4 @@
-"""Intervals between probes and load reports, by the number of nodes.
+"""Intervals between probes and load reports, depending on the number of nodes.
 
 Every node is linked to every other one, so with fixed intervals the traffic would
 grow with the square of the fleet. Each node therefore has a total rate, shared by
@@ -49,7 +49,7 @@
     _last_report_ms: float = float("-inf")
 
     def mark_sent_if_due(self, report: bytes, links: int, now_ms: float) -> bool:
-        """Record a report as sent if it has changed and is due; return whether."""
+        """Return whether a report has changed and is due; if so, record it as sent."""
         if report == self._last_report:
             return False
         if now_ms - self._last_report_ms < report_interval_ms(links, self.per_s):
--- a/azurestep/mesh/decisions/choice.py
+++ b/azurestep/mesh/decisions/choice.py
@@ -52,13 +52,13 @@
     in_flight : int
         Requests that ran or waited there at the last report of its node.
     own_in_flight, own_in_flight_at_report : int
-        Requests of this node there, now and at that report.
+        Requests that this node has in flight there, now and at that report.
     mean_run_ms : dict
         Mean run time there by route, as reported with answers.
     cold_until_ms : float
         When its cold start ends.
     failed_until_ms : float
-        Time until which it is chosen only if no other is available, after a failure.
+        After a failure: until this time, it is chosen only if no other is available.
     failure_ratio : float
         Ratio of its recent runs that failed, from 0 to 1.
     unresponsive : bool
@@ -97,14 +97,14 @@
 
 @attrs.frozen(slots=True)
 class SelectionCriteria:
-    """What the backend server of a request is selected by.
+    """Criteria for selecting the backend server of a request.
 
     Attributes
     ----------
     objective_ms : float
         Time left until the answer loses value.
     fleet_mean_run_ms : float
-        Run time of this route at backend servers that reported none.
+        Run time assumed for this route at backend servers that reported none.
     size_kib : float
         Bytes that would cross between data centres, in KiB.
     data_centre : str
--- a/azurestep/mesh/decisions/health.py
+++ b/azurestep/mesh/decisions/health.py
@@ -8,7 +8,7 @@
 import attrs
 
 TICK_DECAY = 0.9
-"""Factor of the counts at each tick of 0.1 s."""
+"""Decay factor of the counts, applied at each tick of 0.1 s."""
 PRIOR_SUCCESSES = 2.0
 """Successful runs assumed, so that one failure among few runs gives no high ratio."""
 REPORT_STEP = 0.1
@@ -38,7 +38,7 @@
             self._failures += 1.0
 
     def tick(self) -> None:
-        """Apply the decay of 0.1 s."""
+        """Decay the counts; called every 0.1 s."""
         self._runs *= TICK_DECAY
         self._failures *= TICK_DECAY
 
--- a/azurestep/mesh/decisions/pressure.py
+++ b/azurestep/mesh/decisions/pressure.py
@@ -1,4 +1,4 @@
-"""Load shedding at the node that receives a request, for the services that it calls.
+"""Load shedding of requests whose runs would call overloaded services.
 
 A backend server's run may call another service. If that service is overloaded, refusing
 its calls wastes the runs that made them, and serving them all starves its other
@@ -24,7 +24,7 @@
 MAX_ROUTE_REQUESTS = 600
 """Count of requests at which all counts of a route are halved."""
 TICK_DECAY = 0.95
-"""Factor of the counts at each tick of 0.1 s."""
+"""Decay factor of the counts, applied at each tick of 0.1 s."""
 MIN_RECENT_REQUESTS = 4.0
 """Decayed count of requests below which no ratio is reported."""
 MAX_SHED_RATIO = 0.5
@@ -108,7 +108,7 @@
             counts.refused += 1
 
     def tick(self) -> None:
-        """Apply the decay of 0.1 s."""
+        """Decay the counts; called every 0.1 s."""
         for counts in self._counts.values():
             counts.decay()
 
--- a/azurestep/mesh/decisions/retry_budget.py
+++ b/azurestep/mesh/decisions/retry_budget.py
@@ -1,19 +1,19 @@
 """Retry budget: how often nodes may send a request to a second backend server.
 
-The budget holds for all nodes together: a ratio of a service's requests and a fixed
-number in each window. Each node uses an equal part of the number and the ratio of its
-own requests, so that no agreement is needed.
+All nodes share the budget: a ratio of a service's requests plus a fixed number in each
+window. Each node uses an equal part of the number and the ratio of its own requests, so
+the nodes need no coordination.
 """
 
 import attrs
 
 USED_RETRY_RATIO = 0.5
-"""Part of the allowed ratio that is used.
+"""Fraction of the allowed ratio that is used.
 
 The rest is left for the calls that retried requests make to other services.
 """
 USED_EXTRA_RATIO = 0.5
-"""Part of the fixed number that is used, for the same reason."""
+"""Fraction of the fixed number that is used, for the same reason."""
 
 
 @attrs.define(slots=True)
@@ -50,7 +50,7 @@
         self._tokens[service] = min(max_tokens, tokens + self.ratio * USED_RETRY_RATIO)
 
     def try_spend(self, service: str, now_ms: float) -> bool:
-        """Spend a token for a retry if there is one; return whether."""
+        """Spend a token for a retry if there is one; return whether it was spent."""
         max_tokens = self._max_tokens()
         since_ms = now_ms - self._refilled_ms.get(service, now_ms)
         self._refilled_ms[service] = now_ms
--- a/azurestep/mesh/decisions/stopping.py
+++ b/azurestep/mesh/decisions/stopping.py
@@ -14,11 +14,11 @@
 DRAIN_MARGIN_MS = 300.0
 """Time between the drain deadline and the exit.
 
-Time to ask the serving node whether a request ran, for one tick, and to send the
-answers.
+Enough to ask the serving node whether a request ran, to wait for one tick and to send
+the answers.
 """
 UNINTERRUPTED_RATIO = 5 / 6
-"""Part of the grace time in which no run is aborted."""
+"""Fraction of the grace time in which no run is aborted."""
 
 
 @attrs.frozen
--- a/azurestep/mesh/knowledge/discovery.py
+++ b/azurestep/mesh/knowledge/discovery.py
@@ -26,7 +26,7 @@
 RETRY_PAUSES_S = (0.1, 0.3, 0.6, 1.2)
 """Pauses between attempts while the store does not answer; the last one repeats."""
 EPOCH_STEP_MS = 60_000
-"""Increase of the epoch when an earlier process had a later clock."""
+"""Added to the epoch if the store has a higher one of an earlier process."""
 
 
 @attrs.define(eq=False)
--- a/azurestep/mesh/links/interfaces.py
+++ b/azurestep/mesh/links/interfaces.py
@@ -24,7 +24,7 @@
         """Cancel the request; its receiver gets a refusal if it has not run."""
 
     def add_credit(self, size: int) -> None:
-        """Allow so many more bytes of the answer."""
+        """Allow the peer to send this many more bytes of the answer."""
 
     def replace_receiver(self, receiver: "CallReceiver") -> None:
         """Send the outcome to another receiver."""
@@ -34,7 +34,7 @@
     """Receiver of the outcome of a request that was sent over a link."""
 
     def on_unresponsive(self, confirmed: bool) -> None:
-        """Handle that the peer does not answer a probe.
+        """Handle a peer that does not answer a probe.
 
         Parameters
         ----------
--- a/azurestep/mesh/links/link.py
+++ b/azurestep/mesh/links/link.py
@@ -27,10 +27,10 @@
     """Receiver of events of links."""
 
     def on_link_up(self, link: "PeerLink", hello: Hello) -> None:
-        """Handle that a peer answers."""
+        """Handle a peer that has begun to answer."""
 
     def on_link_down(self, link: "PeerLink", cause: str) -> None:
-        """Handle that a peer was lost."""
+        """Handle the loss of a peer."""
 
     def on_state(self, link: "PeerLink", state: State) -> None:
         """Handle a new state of a peer."""
@@ -38,7 +38,7 @@
 
 @attrs.define(eq=False)
 class PeerLink:
-    """The link to one peer, over one connection after the other.
+    """The link to one peer, over successive connections.
 
     Attributes
     ----------
--- a/azurestep/mesh/links/server.py
+++ b/azurestep/mesh/links/server.py
@@ -37,12 +37,12 @@
 
 PONG = encode(Kind.PONG)
 LATE_AFTER_MS = 100.0
-"""Excess over the link's minimum delay above which the excess is subtracted from a
+"""Tolerated delay in excess of the link's minimum. A larger excess is subtracted from a
 request's remaining time, so that no request runs for longer than its caller waits."""
 URGENT_FAILURE_RATIO = 0.3
 """Failure ratio that is reported to peers at once when it is crossed."""
 MIN_DELAY_GROWTH = 0.01
-"""Ratio of the excess that each message adds to the link's minimum delay, so that
+"""Fraction of the excess that each message adds to the link's minimum delay, so that
 clock drift doesn't make all later requests look late."""
 
 
