--- a/azurestep/balancing/queueing.py
+++ b/azurestep/balancing/queueing.py
@@ -1,4 +1,9 @@
-"""Bounded queues of requests, one per priority class."""
+"""Queues of requests, one per priority class; ``Admission`` limits their length.
+
+In a standing queue, adaptive LIFO serves the newest first, so a new request expects
+no wait; controlled delay shortens the maximum wait; FIFO changes nothing. Bulk is
+served last whatever its share; the shares order only the other two classes.
+"""
 
 import heapq
 import itertools
--- a/azurestep/control/packing.py
+++ b/azurestep/control/packing.py
@@ -1,4 +1,4 @@
-"""Compression of batches of similar log records that nodes exchange."""
+"""Compression of batches of ownership stream records that nodes exchange."""
 
 import zlib
 from collections.abc import Sequence
--- a/azurestep/control/probing.py
+++ b/azurestep/control/probing.py
@@ -1,4 +1,8 @@
-"""Probes of ring neighbours and remote bridges, and probes for other nodes."""
+"""Failure detection: probes ring neighbours and relays probes for other nodes.
+
+Probes also carry the digest and updates; bridges also probe remote bridges, which are
+not suspected. ``Detector`` has the timeouts, ``SuspicionTracker`` the suspicions.
+"""
 
 import random
 from collections import OrderedDict
--- a/azurestep/control/reports.py
+++ b/azurestep/control/reports.py
@@ -1,7 +1,8 @@
 """Reports of the configuration version in force in a data centre.
 
 The first bridge of a data centre counts the instances that applied a version and
-broadcasts the result to all data centres.
+broadcasts the result to all data centres. The report carries the addresses of the
+bridges, by which remote data centres find them.
 """
 
 from collections import OrderedDict
--- a/azurestep/control/spread.py
+++ b/azurestep/control/spread.py
@@ -1,8 +1,9 @@
-"""Distribution of configuration versions to every node.
+"""Holds a node's configuration, applies log pages and distributes versions.
 
-A version is pushed as a delta down a tree that every node derives from the member
-list. A node that missed a push sees a newer digest in a probe or an ack and pulls.
-Counts of nodes that applied the version are sent back up the tree. Performs no I/O.
+Versions are pushed down a tree; a node that sees a newer digest pulls.
+A reader that is not first sends a backup push if no push arrives in time. Lists of
+instances that applied a version are merged and sent on; only ``Reporter`` counts.
+Performs no I/O.
 """
 
 import random
--- a/azurestep/traffic/proxy.py
+++ b/azurestep/traffic/proxy.py
@@ -1,7 +1,8 @@
 """The proxy: serves a caller's request.
 
-Stages: match the route, read the body, admit, send, relay. A stage may end the
-request with an error answer.
+``Proxy`` matches the route and reads the body; ``Forwarder`` admits, sends and relays.
+Non-idempotent requests go to ``non_idempotent_handler`` if one is set.
+``Proxy`` also holds the pools of all services and publishes quarantine reports.
 """
 
 import asyncio
