--- a/azurestep/balancing/deadlines.py
+++ b/azurestep/balancing/deadlines.py
@@ -15,7 +15,7 @@
     remaining_ms : float
         Time until the caller's deadline.
     depth : int
-        Calls above this one; 0 for the outermost.
+        Number of proxy hops that the request already passed; 0 at the first.
     """
 
     remaining_ms: float
@@ -28,11 +28,11 @@
 
     @property
     def too_deep(self) -> bool:
-        """Whether the depth suggests a loop of calls."""
+        """Whether the depth suggests a request loop."""
         return self.depth > MAX_DEPTH
 
 
-def limit_budget(
+def budget_on_arrival(
     remaining_ms: float | None, depth: int, timeout_ms: float
 ) -> DeadlineBudget:
     """Return the budget of a request at its arrival.
@@ -48,9 +48,9 @@
 
     Examples
     --------
-    >>> limit_budget(None, 0, 2000.0)
+    >>> budget_on_arrival(None, 0, 2000.0)
     DeadlineBudget(remaining_ms=2000.0, depth=0)
-    >>> limit_budget(300.0, 2, 2000.0)
+    >>> budget_on_arrival(300.0, 2, 2000.0)
     DeadlineBudget(remaining_ms=300.0, depth=2)
     """
     if remaining_ms is None:
@@ -58,17 +58,17 @@
     return DeadlineBudget(min(remaining_ms, timeout_ms), depth)
 
 
-def reduce_budget(
+def budget_for_next_hop(
     budget: DeadlineBudget, spent_ms: float, allowance_ms: float = HOP_ALLOWANCE_MS
 ) -> DeadlineBudget:
     """Return the budget of the call to the next hop.
 
-    The allowance is time for the answer's return, so that the inner call ends
-    before the outer one times out.
+    The allowance is time for the answer's return, so that the next hop times out
+    before this one.
 
     Examples
     --------
-    >>> reduce_budget(DeadlineBudget(300.0, 2), 48.0)
+    >>> budget_for_next_hop(DeadlineBudget(300.0, 2), 48.0)
     DeadlineBudget(remaining_ms=250.0, depth=3)
     """
     remaining_ms = budget.remaining_ms - spent_ms - allowance_ms
--- a/azurestep/mesh/backend/transfers.py
+++ b/azurestep/mesh/backend/transfers.py
@@ -1,11 +1,11 @@
-"""Transfers of long request bodies, limited so that links stay responsive."""
+"""Transfers of large request bodies, limited so that links stay responsive."""
 
 from collections import deque
 from typing import Protocol
 
 import attrs
 
-from .contained import Faultable
+from .contained import HandlesFaults
 
 MAX_CONCURRENT_TRANSFERS = 2
 """Limit of concurrent transfers.
@@ -14,8 +14,8 @@
 """
 
 
-class BodyTransfer(Faultable, Protocol):
-    """A request whose body is sent on demand."""
+class BodyTransfer(HandlesFaults, Protocol):
+    """A request whose body the sender sends when asked."""
 
     def request_body(self) -> None:
         """Ask the sender for the body."""
--- a/azurestep/mesh/callers/call.py
+++ b/azurestep/mesh/callers/call.py
@@ -17,12 +17,12 @@
 from .outgoing import RequestBuilder
 from .own_answers import NO_BACKEND_RETRY_AFTER_MS
 from .placement import EndpointSelector
-from .record import FIRST_FAILURE_STATUS, CallRecord
+from .record import FIRST_NON_SUCCESS_STATUS, CallRecord
 
 MAX_NODES_TRIED = 4
 """Limit of the nodes that one request is sent to."""
 WITHDRAWAL_TIMEOUT_MS = 50.0
-"""Longest wait past the deadline for a peer's reply whether the request has run."""
+"""Time past the deadline in which a peer must report whether the request has run."""
 SERVER_ERROR = 500
 
 
@@ -56,7 +56,7 @@
         self._stream: Stream | None = None
         self._earlier_run: EarlierRun | None = None
         self._fallback_answer: Answer | None = None
-        self._unconfirmed_runs = 0
+        self._possible_runs = 0
         self._withdrawn = False
         self._refusal: Refusal | None = None
         self._writer = AnswerWriter(exchange)
@@ -140,7 +140,7 @@
             return
         if self._body.record_sent(data):
             self.exchange.connection.pause_reading()
-        self._stream.body(data, whole)
+        self._stream.add_body(data, whole)
 
     # Events of the node beside the backend server.
 
@@ -155,7 +155,7 @@
         if self._stream is None or endpoint is None:
             return
         if self._request_builder.defers_body(endpoint):
-            self._stream.body(self._body.content(), True)
+            self._stream.add_body(self._body.content(), True)
 
     def on_unresponsive(self, confirmed: bool) -> None:
         """Retry elsewhere, if that is safe and another backend server is available."""
@@ -164,7 +164,7 @@
             return
         if self._withdrawn or not self._selector.has_alternative():
             return
-        if confirmed and not self._may_run_in_parallel():
+        if confirmed and not self._try_reserve_parallel_run():
             return
         stream, self._stream = self._stream, None
         self._selector.release()
@@ -177,12 +177,13 @@
         self._log_retry(Reason.LINK_LOST)
         self._dispatch()
 
-    def _may_run_in_parallel(self) -> bool:
+    def _try_reserve_parallel_run(self) -> bool:
+        """Count the run at an unresponsive peer; return whether another may start."""
         if self._earlier_run is not None or not self._request_builder.is_reroutable():
             return False
         self.record.runs += 1
-        if self._may_retry():
-            self._unconfirmed_runs += 1
+        if self._try_spend_retry():
+            self._possible_runs += 1
             return True
         self.record.runs -= 1
         return False
@@ -209,19 +210,19 @@
             return
         self._earlier_run = None
         if not may_have_run:
-            self._uncount_unconfirmed_run()
+            self._uncount_possible_run()
 
-    def _uncount_unconfirmed_run(self) -> None:
+    def _uncount_possible_run(self) -> None:
         """Subtract a run that was counted when its peer became unresponsive."""
         self.record.runs -= 1
-        self._unconfirmed_runs -= 1
+        self._possible_runs -= 1
 
     def _resume_earlier_run(self) -> bool:
         """Wait for the earlier run only, if it is still active."""
         earlier, self._earlier_run = self._earlier_run, None
         if earlier is None:
             return False
-        self._uncount_unconfirmed_run()
+        self._uncount_possible_run()
         self._stream = earlier.stream
         earlier.stream.replace_receiver(self)
         self._selector.assign(earlier.endpoint)
@@ -255,7 +256,7 @@
             not self._body.streamed and self.record.nodes_tried < MAX_NODES_TRIED
         )
         if refusal.reached_backend and may_retry:
-            may_retry = self._may_retry()
+            may_retry = self._try_spend_retry()
         if may_retry:
             self._log_retry(reason)
             self._dispatch()
@@ -272,13 +273,17 @@
         endpoint = self._selector.release()
         reason = Reason(failure.reason)
         self.record.runs += 1
-        self._unconfirmed_runs += 1
+        self._possible_runs += 1
         if endpoint is not None:
             self._selector.avoid(endpoint)
         if self._writer.started:
             self._close(cancel=False)
             self._outcome.report_failed(reason)
-        elif self.route.idempotent and not self._body.streamed and self._may_retry():
+        elif (
+            self.route.idempotent
+            and not self._body.streamed
+            and self._try_spend_retry()
+        ):
             self._log_retry(reason)
             self._dispatch()
         else:
@@ -292,10 +297,10 @@
         self.record.record_times(answer)
         if endpoint is not None:
             endpoint.mean_run_ms[self.route.name] = answer.mean_run_ms
-            self.context.mean_run_times.learn(self.route.name, answer.mean_run_ms)
+            self.context.mean_run_times.record_run(self.route.name, answer.mean_run_ms)
         if self._is_retriable_error(answer) and not self._body.streamed:
             self.record.runs += 1
-            self._unconfirmed_runs += 1
+            self._possible_runs += 1
             if self._replace_error(answer, endpoint):
                 return
         self._selector.release()
@@ -305,7 +310,7 @@
 
     def _replace_error(self, answer: Answer, endpoint: Endpoint | None) -> bool:
         """Wait for another run instead of passing an error on, if one is possible."""
-        retries = self._may_retry()
+        retries = self._try_spend_retry()
         if not retries and self._earlier_run is None:
             return False
         self._keep_fallback_answer(answer)
@@ -346,9 +351,9 @@
 
     def _send_answer(self, answer: Answer) -> None:
         self._cancel_earlier_run()
-        if answer.status < FIRST_FAILURE_STATUS:
+        if answer.status < FIRST_NON_SUCCESS_STATUS:
             size_bytes = max(answer.length, len(answer.body))
-            self.context.answer_sizes.learn(self.route.name, size_bytes)
+            self.context.answer_sizes.record_size(self.route.name, size_bytes)
         if answer.whole:
             self._close(cancel=False)
             self._outcome.report_answered(answer.status)
@@ -363,11 +368,12 @@
             return
         credit = self._writer.take_credit()
         if credit:
-            self._stream.grant(credit)
+            self._stream.add_credit(credit)
 
     # Completion.
 
-    def _may_retry(self) -> bool:
+    def _try_spend_retry(self) -> bool:
+        """Spend a retry of the budget; return False if no further run is allowed."""
         now_ms = self._now_ms()
         if (
             self.record.runs >= self.route.max_attempts
@@ -376,7 +382,7 @@
             return False
         if self.record.nodes_tried >= MAX_NODES_TRIED:
             return False
-        return self.context.retry_budget.spend(self.service, now_ms)
+        return self.context.retry_budget.try_spend(self.service, now_ms)
 
     def _refuse_without_endpoint(self) -> None:
         refusal = self._refusal
@@ -386,7 +392,7 @@
             self._refuse(Reason(refusal.reason), refusal.retry_after_ms)
 
     def _refuse(self, reason: Reason, retry_after_ms: float) -> None:
-        if self._unconfirmed_runs:
+        if self._possible_runs:
             self._fail(reason)
             return
         self._close(cancel=True)
@@ -440,7 +446,7 @@
 
     def _refuse_at_deadline(self) -> None:
         """Refuse the request at its deadline, or time out if it may have run."""
-        if self._unconfirmed_runs:
+        if self._possible_runs:
             self._time_out()
         else:
             self._refuse(self._deadline_reason(Reason.TOO_LATE), MIN_RETRY_AFTER_MS)
--- a/azurestep/mesh/callers/context.py
+++ b/azurestep/mesh/callers/context.py
@@ -61,13 +61,13 @@
             call.limit_deadline(drain_deadline_ms)
 
     def identify_attempt(self, exchange: Exchange, caller: CallerFields) -> Attempt:
-        """Return the attempt that a new request is, matched to earlier ones."""
+        """Identify a new request as a first attempt or as a retry of an earlier one."""
         now_ms = self.runtime.now_ms()
         request_key = (exchange.method, caller.host, exchange.target)
         if caller.remaining_ms is None:
             return Attempt(request_key, now_ms, now_ms)
         deadline_ms = now_ms + caller.remaining_ms
-        first_attempt_ms = self.returning_callers.first_attempt_ms(
+        first_attempt_ms = self.returning_callers.pop_first_attempt_ms(
             request_key, now_ms, deadline_ms
         )
         return Attempt(
@@ -83,7 +83,7 @@
 
 @attrs.frozen(slots=True)
 class Target:
-    """Route and service that the configuration chose for a request."""
+    """Route and service of a request, by the configuration with the given version."""
 
     route: Route
     service: str
--- a/azurestep/mesh/decisions/admission.py
+++ b/azurestep/mesh/decisions/admission.py
@@ -1,7 +1,7 @@
 """Admission control for one backend server: a request runs, waits or is refused.
 
-Pure: times go in, decisions come out. The local node is the only sender to its backend
-server, so it counts the occupied slots itself.
+The local node is the only sender to its backend server, so it counts the occupied slots
+itself.
 """
 
 import math
@@ -23,9 +23,11 @@
     Attributes
     ----------
     objective_deadline_ms : float
-        When the answer loses its full value.
+        When the answer begins to lose value.
     deadline_ms : float
         When the caller gives up.
+    owner : object
+        Data of the code that submits the request; not used here.
     """
 
     route: str
@@ -90,7 +92,7 @@
         """Set a route's mean run time over all backend servers."""
         self._fleet_mean_run_ms[route] = mean_run_ms
 
-    def learn(self, route: str, run_ms: float) -> None:
+    def record_run(self, route: str, run_ms: float) -> None:
         """Add the run time of one request to its route's mean."""
         known = self._mean_run_ms.get(route)
         if known is None:
@@ -98,7 +100,7 @@
         else:
             self._mean_run_ms[route] = known + RUN_MEAN_WEIGHT * (run_ms - known)
 
-    def forget(self) -> None:
+    def clear_run_times(self) -> None:
         """Clear the run times, which belong to an earlier incarnation."""
         self._mean_run_ms.clear()
 
@@ -140,24 +142,24 @@
         self.running.add(chosen)
         return chosen
 
-    def find_late(self, now_ms: float) -> list[Ticket]:
+    def find_expiring(self, now_ms: float) -> list[Ticket]:
         """Return the waiting requests that can't end in time.
 
         During a shutdown the work ahead of a request counts too, so that another node
-        can serve it at once. Work of requests that are returned doesn't count.
+        can serve it at once. The work of requests in the result doesn't count.
         """
         if self.drain_deadline_ms == math.inf:
             return [
                 one for one in self._waiting if not self.can_end_in_time(one, now_ms)
             ]
-        late: list[Ticket] = []
+        expiring: list[Ticket] = []
         start_ms = now_ms + self._estimate_wait_ms(0.0)
         for ticket in sorted(self._waiting, key=lambda one: self._rank(one, now_ms)):
             if self.can_end_in_time(ticket, start_ms):
                 start_ms += self.mean_run_ms(ticket.route) / self.slots
             else:
-                late.append(ticket)
-        return late
+                expiring.append(ticket)
+        return expiring
 
     def run_deadline_ms(self, ticket: Ticket) -> float:
         """Return when a run must end: its deadline or that of the shutdown."""
@@ -187,8 +189,10 @@
         """Return the sort key of a waiting request.
 
         Requests that can meet their objective go first, then the more urgent priority,
-        then the earlier objective. Calls of backend servers have the shortest ones: a
-        call that fails wastes the run that made it.
+        then the earlier objective. Calls between services have the shortest objectives
+        and so go first within a priority; refusing one wastes the calling run.
         """
-        late = now_ms + self.mean_run_ms(ticket.route) > ticket.objective_deadline_ms
-        return late, ticket.priority, ticket.objective_deadline_ms
+        misses_objective = (
+            now_ms + self.mean_run_ms(ticket.route) > ticket.objective_deadline_ms
+        )
+        return misses_objective, ticket.priority, ticket.objective_deadline_ms
--- a/azurestep/mesh/decisions/choice.py
+++ b/azurestep/mesh/decisions/choice.py
@@ -1,4 +1,8 @@
-"""Selection of the backend server for a request. Pure."""
+"""Selection of the backend server for a request.
+
+The value of an answer is 1 well before its objective and falls towards 0 after it;
+penalties are in the same unit.
+"""
 
 from collections.abc import Iterable
 from random import Random
@@ -12,10 +16,10 @@
 RUN_MEAN_WEIGHT = 0.1
 """Weight of a new sample in the mean over all backend servers."""
 MAX_UNSAMPLED = 8
-"""Number of backend servers up to which all are compared.
+"""With more backend servers than this, a random sample is compared.
 
-Load reports are rarer in larger fleets; there, nodes that compared all servers would
-choose the same one.
+Load reports are rarer in larger fleets; nodes that compared all servers by the same old
+reports would all choose the same one.
 """
 LOCAL_SAMPLE = 4
 REMOTE_SAMPLE = 2
@@ -32,7 +36,7 @@
 COLD_RUN_FACTOR = 2.0
 """How much slower a backend server is during its cold start."""
 FAILURE_PENALTY = 1.0
-"""Value lost at a backend server all of whose runs fail: that of an answer."""
+"""Value lost at a failure ratio of 1."""
 MAX_TIE_BREAK = 0.01
 """Random part of a value, so that nodes with the same reports choose differently."""
 
@@ -54,11 +58,12 @@
     cold_until_ms : float
         When its cold start ends.
     failed_until_ms : float
-        Until when it is only a last resort, after a failure.
+        Time until which it is chosen only if no other is available, after a failure.
     failure_ratio : float
         Ratio of its recent runs that failed, from 0 to 1.
     unresponsive : bool
-        Whether its node owes an answer to a probe; it is then only a last resort.
+        Whether a probe of its node is overdue; it is then chosen only if no other is
+        available.
     """
 
     key: object
@@ -98,7 +103,7 @@
     ----------
     objective_ms : float
         Time left until the answer loses value.
-    mean_run_ms : float
+    fleet_mean_run_ms : float
         Run time of this route at backend servers that reported none.
     size_kib : float
         Bytes that would cross between data centres, in KiB.
@@ -109,7 +114,7 @@
     service: str
     route: str
     objective_ms: float
-    mean_run_ms: float
+    fleet_mean_run_ms: float
     size_kib: float
     data_centre: str
 
@@ -126,7 +131,7 @@
     >>> mean_run_times = MeanRunTimes()
     >>> mean_run_times.get("read")
     150.0
-    >>> mean_run_times.learn("read", 400.0)
+    >>> mean_run_times.record_run("read", 400.0)
     >>> mean_run_times.get("read")
     400.0
     """
@@ -138,10 +143,13 @@
         return self._mean_ms.get(route, INITIAL_RUN_MS)
 
     def get_or_zero(self, route: str) -> float:
-        """Return the mean of a route, or 0 before the first answer."""
+        """Return the mean of a route, or 0 before the first answer.
+
+        Sent with requests, where 0 stands for an unknown mean.
+        """
         return self._mean_ms.get(route, 0.0)
 
-    def learn(self, route: str, run_ms: float) -> None:
+    def record_run(self, route: str, run_ms: float) -> None:
         """Add the run time that was reported with an answer."""
         known = self._mean_ms.get(route, run_ms)
         self._mean_ms[route] = known + RUN_MEAN_WEIGHT * (run_ms - known)
@@ -183,7 +191,8 @@
 def _expected_value(
     endpoint: Endpoint, criteria: SelectionCriteria, now_ms: float
 ) -> float:
-    run_ms = endpoint.mean_run_ms.get(criteria.route, criteria.mean_run_ms)
+    """Return the value of an answer at its expected time, less the penalties."""
+    run_ms = endpoint.mean_run_ms.get(criteria.route, criteria.fleet_mean_run_ms)
     if now_ms < endpoint.cold_until_ms:
         run_ms *= COLD_RUN_FACTOR
     load = endpoint.load
@@ -193,7 +202,7 @@
     value -= FAILURE_PENALTY * endpoint.failure_ratio
     value -= LOAD_PENALTY * (load / endpoint.slots) ** 2
     if now_ms < endpoint.failed_until_ms or endpoint.unresponsive:
-        value -= 1.0
+        value -= 1.0  # as much as the highest value of an answer
     if endpoint.data_centre != criteria.data_centre:
         value -= REMOTE_PENALTY_PER_KIB * criteria.size_kib
     return value
--- a/azurestep/mesh/links/interfaces.py
+++ b/azurestep/mesh/links/interfaces.py
@@ -10,7 +10,7 @@
 class Stream(Protocol):
     """The sender's handle of one request."""
 
-    def body(self, data: bytes, whole: bool) -> None:
+    def add_body(self, data: bytes, whole: bool) -> None:
         """Send more of the body."""
 
     @property
@@ -18,12 +18,12 @@
         """Whether the request may have run, or may still run."""
 
     def cancel(self) -> None:
-        """Cancel the request without a reply."""
+        """Cancel the request; its receiver gets no outcome."""
 
     def withdraw(self) -> None:
         """Cancel the request; its receiver gets a refusal if it has not run."""
 
-    def grant(self, size: int) -> None:
+    def add_credit(self, size: int) -> None:
         """Allow so many more bytes of the answer."""
 
     def replace_receiver(self, receiver: "CallReceiver") -> None:
@@ -47,7 +47,7 @@
 
 
 class FleetListener(Protocol):
-    """Receiver of news that concern the whole fleet, from any peer."""
+    """Receiver of configurations and crash reports from any peer."""
 
     def on_configuration(self, version: int, content: bytes) -> None:
         """Handle a configuration that a peer sent."""
@@ -56,4 +56,4 @@
         """Handle a report of requests in flight at a backend server's crash."""
 
     def hello(self) -> Hello:
-        """Return this node's greeting."""
+        """Return this node's hello."""
--- a/azurestep/mesh/stopping.py
+++ b/azurestep/mesh/stopping.py
@@ -22,8 +22,8 @@
     ----------
     callers : ServerState
         Connections of callers.
-    close_callers : Callable
-        Stops accepting connections of callers.
+    stop_accepting : Callable
+        Stops accepting connections of callers; open ones are kept.
     plan : ShutdownPlan or None
         Times of the steps; None until the shutdown begins.
     """
@@ -34,7 +34,7 @@
     outbound: Outbound
     inbound: Inbound
     incoming_links: IncomingLinks
-    close_callers: Callable[[], None]
+    stop_accepting: Callable[[], None]
     plan: ShutdownPlan | None = None
 
     def begin(self, grace_ms: float) -> bool:
@@ -44,7 +44,7 @@
         self.plan = ShutdownPlan(self.runtime.now_ms(), grace_ms)
         self.callers.draining = True
         self.outbound.context.limit_deadline(self.plan.drain_deadline_ms)
-        self.inbound.stop(self.plan.drain_deadline_ms)
+        self.inbound.begin_shutdown(self.plan.drain_deadline_ms)
         self._log(events.STOPPING)
         return True
 
@@ -55,8 +55,8 @@
             return False
         if not self.outbound.closed:
             self.outbound.closed = True
-            self.close_callers()
-            # Requests on just accepted connections are refused before the next call.
+            self.stop_accepting()
+            # Wait a tick, so that requests on newly accepted connections are answered.
             return False
         busy = (
             self.callers.busy
@@ -68,7 +68,7 @@
         for connection in list(self.callers.connections):
             self.runtime.run_guarded("stop", connection.close_if_idle)
         # Refuse requests that arrive now, since the exit would abort them.
-        self.inbound.stop(now_ms)
+        self.inbound.begin_shutdown(now_ms)
         return True
 
     def finish(self) -> None:
--- a/azurestep/platform/client.py
+++ b/azurestep/platform/client.py
@@ -1,4 +1,7 @@
-"""Client of the platform's append-only log."""
+"""Client of the platform's log (``/streams``).
+
+Used by ``azurestep.node`` and the commands; ``azurestep.mesh`` uses ``store``.
+"""
 
 import asyncio
 
@@ -16,7 +19,8 @@
 APPEND_TIMEOUT_MS = 3000
 STATUS_REJECTED = frozenset({400, 404, 413})
 OK = 200
-OFFSET_MAXIMUM = 2**62
+BEYOND_END_OFFSET = 2**62
+"""Offset past the end of any stream; a read there returns the next offset alone."""
 
 
 class LogClient:
@@ -107,7 +111,7 @@
 
     async def next_offset(self, stream: str) -> Result[int, AzurestepError]:
         """Return the offset of the next append."""
-        result = await self.read(stream, from_offset=OFFSET_MAXIMUM, limit=1)
+        result = await self.read(stream, from_offset=BEYOND_END_OFFSET, limit=1)
         return result.map(lambda page: page.next_offset)
 
     async def _find(
@@ -129,7 +133,7 @@
     async def append_attempt(
         self, stream: str, body: bytes
     ) -> Result[Receipt, AzurestepError]:
-        """Try once to append a record; a failure may hide a successful append."""
+        """Try once to append a record; after a failure it may have been appended."""
         timeout = aiohttp.ClientTimeout(total=APPEND_TIMEOUT_MS / 1000)
         try:
             async with self._session.post(
@@ -167,13 +171,13 @@
 
 def _page_of(body: bytes, from_offset: int) -> Result[Page, AzurestepError]:
     try:
-        plain = orjson.loads(body)
+        fields = orjson.loads(body)
         records = [
             LogRecord(item["offset"], item["time_ms"], item["value"])
-            for item in plain["records"]
+            for item in fields["records"]
         ]
         return Success(
-            Page(plain["first_offset"], plain["next_offset"], records, from_offset)
+            Page(fields["first_offset"], fields["next_offset"], records, from_offset)
         )
     except (orjson.JSONDecodeError, KeyError, TypeError) as error:
         return Failure(_unavailable(f"unreadable answer: {error}"))
--- a/azurestep/platform/headers.py
+++ b/azurestep/platform/headers.py
@@ -17,7 +17,7 @@
 SERVER_LOAD = b"server-load"
 
 SET_BY_NODE = frozenset({DEADLINE, EXPECTED_INSTANCE, CALLING_SERVICE})
-HOP_BY_HOP = frozenset(
+NOT_FORWARDED = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -31,7 +31,10 @@
         b"accept-encoding",
     }
 )
+"""Headers of one connection or replaced by the node, and ``Accept-Encoding``, so that
+answers aren't compressed."""
 MAX_REMAINING_MS = 600_000.0
+"""Longer deadlines are reduced to this."""
 
 
 @attrs.frozen(slots=True)
@@ -41,12 +44,12 @@
     Attributes
     ----------
     request_id : bytes
-        Id of this attempt of the caller; empty if missing.
+        Id of the caller's attempt, which retries of the node keep; empty if missing.
     remaining_ms : float or None
         How long the caller waits, counted from the arrival of the request.
     forwarded : Headers
-        Headers for the backend server, without hop-by-hop headers and those that
-        azurestep sets itself.
+        Headers for the backend server, without those of ``NOT_FORWARDED``, those that
+        ``Connection`` names and those that the node sets.
     """
 
     host: bytes
@@ -131,7 +134,7 @@
             continue
         elif lower == b"host":
             host = value
-        elif lower in HOP_BY_HOP or lower in SET_BY_NODE or lower in dropped:
+        elif lower in NOT_FORWARDED or lower in SET_BY_NODE or lower in dropped:
             continue
         forwarded.append((name, value))
     return CallerFields(host.lower(), request_id, remaining_ms, forwarded)
@@ -149,7 +152,7 @@
     """Read a backend server's headers."""
     values = {name.lower(): value for name, value in headers}
     connection_options = _connection_options(headers)
-    dropped = HOP_BY_HOP | connection_options | {SERVER_LOAD}
+    dropped = NOT_FORWARDED | connection_options | {SERVER_LOAD}
     keep_alive = values.get(b"keep-alive")
     return AnswerFields(
         request_id=values.get(REQUEST_ID, b""),
--- a/azurestep/traffic/caller_answer.py
+++ b/azurestep/traffic/caller_answer.py
@@ -12,8 +12,8 @@
 WrittenCallback = Callable[[], None]
 
 
-class WholeAnswer(web.Response):
-    """An answer with its whole body; it calls ``on_written`` once written."""
+class BufferedAnswer(web.Response):
+    """An answer with a buffered body; it calls ``on_written`` once written."""
 
     on_written: WrittenCallback | None = None
 
@@ -28,16 +28,19 @@
 class CloseDelimitedAnswer(web.StreamResponse):
     """An answer whose body is delimited by the close of the connection.
 
-    Such an end may be a truncation, so it isn't passed on as a marked end.
+    The node can't distinguish this end from a truncation, so it also closes the
+    caller's connection instead of sending a last chunk.
     """
 
     _length_check = False
 
 
-def make_streamed_answer(answer: BackendAnswer, is_final: bool) -> web.StreamResponse:
+def make_streamed_answer(
+    answer: BackendAnswer, forbids_retry: bool
+) -> web.StreamResponse:
     """Return an answer whose body is streamed."""
     fields = end_to_end_headers(answer.headers)
-    if is_final:
+    if forbids_retry:
         fields[headers.RETRIED] = headers.RETRIED_FINAL
     if answer.ends_with_connection:
         fields["Connection"] = "close"
@@ -54,15 +57,15 @@
     return response
 
 
-def make_whole_answer(
-    answer: BackendAnswer, body: bytes, is_final: bool
-) -> WholeAnswer:
-    """Return an answer with its whole body."""
+def make_buffered_answer(
+    answer: BackendAnswer, body: bytes, forbids_retry: bool
+) -> BufferedAnswer:
+    """Return an answer with a buffered body."""
     dropped = ("content-length",) if answer.has_body else ()
     fields = end_to_end_headers(answer.headers, dropped)
-    if is_final:
+    if forbids_retry:
         fields[headers.RETRIED] = headers.RETRIED_FINAL
-    return WholeAnswer(
+    return BufferedAnswer(
         status=answer.status, reason=answer.reason, body=body, headers=fields
     )
 
--- a/tests/test_mesh_choice.py
+++ b/tests/test_mesh_choice.py
@@ -71,10 +71,10 @@
 
 def test_a_failed_or_unresponsive_server_is_the_last_resort(random: Random) -> None:
     failed = endpoint("failed", failed_until_ms=100.0)
-    doubted = endpoint("doubted", unresponsive=True)
-    sound = endpoint("sound", in_flight=4)
-    assert pick([failed, doubted, sound], random) == "sound"
-    assert pick([doubted], random) == "doubted"
+    unresponsive = endpoint("unresponsive", unresponsive=True)
+    healthy = endpoint("healthy", in_flight=4)
+    assert pick([failed, unresponsive, healthy], random) == "healthy"
+    assert pick([unresponsive], random) == "unresponsive"
 
 
 def test_own_requests_count_until_the_next_report(random: Random) -> None:
@@ -119,8 +119,8 @@
 def test_a_long_answer_stays_local_where_a_read_goes_remote(random: Random) -> None:
     sizes = AnswerSizes()
     for _ in range(30):
-        sizes.learn("download", 90_000)
-        sizes.learn("read", 1_500)
+        sizes.record_size("download", 90_000)
+        sizes.record_size("read", 1_500)
     near, far = endpoint("near", in_flight=7), endpoint("far", "dc-2")
     assert pick([near, far], random, sizes.mean_kib("download")) == "near"
     assert pick([near, far], random, sizes.mean_kib("read")) == "far"
--- a/tests/test_mesh_leaving_callers.py
+++ b/tests/test_mesh_leaving_callers.py
@@ -8,7 +8,7 @@
 
 from .fixtures_mesh import CALLER_PORT, MeshFleet, MeshInstance, caller_headers
 from .test_mesh_faults import eventually
-from .test_mesh_refusals import only, read
+from .test_mesh_refusals import drain_all_but, read
 
 LONG_MS = 2_000.0
 """Run time with which no waiting read can end in time."""
@@ -25,15 +25,15 @@
 def set_long_run_time(instance: MeshInstance) -> None:
     """Set the run time that a node expects of reads."""
     admission = instance.node.inbound.admission
-    admission.forget()
-    admission.learn("read", LONG_MS)
+    admission.clear_run_times()
+    admission.record_run("read", LONG_MS)
 
 
 async def test_disconnect_of_a_waiting_caller_affects_no_other_request(
     mesh: MeshFleet,
 ) -> None:
     serving, asked = mesh.instances[:2]
-    await only(mesh, serving)
+    await drain_all_but(mesh, serving)
     serving.server.work_s = 0.5
     admission = serving.node.inbound.admission
     slots = serving.server.slots
--- a/tests/test_pinned_formats.py
+++ b/tests/test_pinned_formats.py
@@ -89,7 +89,7 @@
 from azurestep.once import records as ownership
 from azurestep.once.assignment import preferred_owner
 from azurestep.once.fold import SlotId
-from azurestep.once.key import mint_key, parse_key
+from azurestep.once.key import generate_key, parse_key
 from azurestep.once.settings import KEY_SCOPE
 from azurestep.once.table import digest_of
 from azurestep.operations import audit_reader, defaults
@@ -570,7 +570,7 @@
 
 
 def test_idempotency_key() -> None:
-    key = mint_key(1_718_360_049_300, 0x91, Random(1))
+    key = generate_key(1_718_360_049_300, 0x91, Random(1))
     check("minted_key", attrs.astuple(key))
     parsed = parse_key("0190163D-8694-739B-AEA5-966C26F8AD91").unwrap()
     check("parsed_key", [*attrs.astuple(parsed), parsed.slot(64)])
@@ -667,7 +667,7 @@
 
 
 def decoded(raw: bytes, from_caller: bool) -> list[tuple[int, Any]]:
-    calling, called = decoding.OF_CALLING_NODES, decoding.OF_CALLED_NODES
+    calling, called = decoding.INCOMING_LINK_SCHEMAS, decoding.PEER_CONNECTION_SCHEMAS
     decoder = decoding.Decoder(calling if from_caller else called)
     found = decoder.feed(raw)
     assert decoder.fault == ""
@@ -719,8 +719,8 @@
     tracker = crashes.CrashTracker(
         "10.0.0.1", lambda name, news: told.append([name, news]), lambda service: 5
     )
-    tracker.record_lost(request(True), 100.0)
-    tracker.record_death("songs", Incarnation(b"i-1", 77), 110.0)
+    tracker.record_connection_loss(request(True), 100.0)
+    tracker.record_crash("songs", Incarnation(b"i-1", 77), 110.0)
     [[service, news]] = told
     check("told_crashes", [service, crashes.encode_updates(news)])
 
@@ -813,7 +813,7 @@
     names = [value for value in values if isinstance(value, str)]
     check("header_names", sorted(names))
     check("headers_of_one_connection", traffic_headers.HOP_BY_HOP)
-    check("headers_of_one_connection_platform", platform_headers.HOP_BY_HOP)
+    check("headers_of_one_connection_platform", platform_headers.NOT_FORWARDED)
 
 
 def shown(answer: web.Response) -> Any:
@@ -859,7 +859,7 @@
 
 def test_answers_to_refused_requests() -> None:
     not_run = traffic_answers.not_run(503, "queue_full", 1500.5)
-    may_have_run = traffic_answers.Refusal(
+    may_have_run = traffic_answers.ErrorAnswer(
         504, traffic_answers.CallOutcome.MAY_HAVE_RUN, "timeout", None, True
     )
     found = [traffic_answers.make_answer(one) for one in (not_run, may_have_run)]
@@ -1391,7 +1391,7 @@
 
 def test_places_of_faults() -> None:
     """They are a label of a metric and a field of log lines."""
-    functions = ("run_guarded", "_contain", "report_fault", "fault_handler")
+    functions = ("run_guarded", "_handle_fault", "report_fault", "fault_handler")
     places = [call.args[0] for _, call in calls_of(*functions) if call.args]
     for _, call in calls_of("partial"):
         if name_of(call.args[0]) in functions:
@@ -1401,7 +1401,7 @@
 
 
 def test_reasons_in_answers_without_an_enumeration() -> None:
-    found = [call for _, call in calls_of("not_run", "Refusal")]
+    found = [call for _, call in calls_of("not_run", "Refusal", "ErrorAnswer")]
     check("literal_reasons", texts_in(arg for call in found for arg in call.args))
 
 
