--- a/tests/test_soak_run.py
+++ b/tests/test_soak_run.py
@@ -4,8 +4,10 @@
 
 import pytest
 
+from soak import callers
 from soak.plan import (
     KINDS,
+    STOP_LASTS_S,
     Fault,
     Plan,
     Publish,
@@ -19,6 +21,8 @@
 
 SEED = 1
 NODES = 3
+OUTLASTING_S = (STOP_LASTS_S + 0.5, STOP_LASTS_S + 1.0)
+"""Work times of requests that are still unanswered when the first node stops."""
 
 
 async def test_a_short_run_keeps_every_promise() -> None:
@@ -56,8 +60,10 @@
     ],
 )
 async def test_a_broken_node_is_found(
-    breakage: str, kind: type[Fault], check: str
+    breakage: str, kind: type[Fault], check: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    if breakage == "end_unanswered":
+        monkeypatch.setattr(callers, "LONG_WORK_S", OUTLASTING_S)
     faults = tuple(kind(0.5 + node, 0.5, node) for node in range(NODES))
     program = ("-m", "tests.broken_node", breakage, "sidecar")
     result = await play(Plan(SEED, NODES, faults), 3, program)
